--- a/reachhead_admin/src/api/change.rs
+++ b/reachhead_admin/src/api/change.rs
@@ -10,9 +10,9 @@
 };
 use reachhead_store::config::{ChangeError, ChangeRequest, Changer, history};
 use reachhead_types::{
-    book::Book,
     id::ChangeId,
     size::{Millis, Version},
+    snapshot::ConfigSnapshot,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::MutexGuard;
@@ -46,10 +46,10 @@
         &self,
         body: &[u8],
         caller: Caller,
-        book: MutexGuard<'_, Book>,
+        snapshot: MutexGuard<'_, ConfigSnapshot>,
     ) -> WholeResponse {
         match serde_json::from_slice(body) {
-            Ok(request) => self.make(&request, caller, book).await,
+            Ok(request) => self.make(&request, caller, snapshot).await,
             Err(error) => api::problem(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
@@ -58,7 +58,7 @@
         &self,
         body: &[u8],
         caller: Caller,
-        book: MutexGuard<'_, Book>,
+        snapshot: MutexGuard<'_, ConfigSnapshot>,
     ) -> WholeResponse {
         let UndoRequest { id, version } = match serde_json::from_slice(body) {
             Ok(request) => request,
@@ -69,7 +69,7 @@
             Ok(None) => return api::problem(StatusCode::NOT_FOUND, "there is no such version"),
             Err(error) => return api::store_problem(&error),
         };
-        let Some(fleet) = api::fleet(&book) else {
+        let Some(fleet) = api::fleet(&snapshot) else {
             return api::faulty();
         };
         let is_hidden =
@@ -77,23 +77,23 @@
         if is_hidden {
             return api::forbidden();
         }
-        self.make(&history::undo(id, log), caller, book).await
+        self.make(&history::undo(id, log), caller, snapshot).await
     }
 
     async fn make(
         &self,
         request: &ChangeRequest,
         caller: Caller,
-        mut book: MutexGuard<'_, Book>,
+        mut snapshot: MutexGuard<'_, ConfigSnapshot>,
     ) -> WholeResponse {
         let Caller { operator, scope } = caller;
         let changer = Changer::new(&*self.store, operator.clone(), now()).with_scope(scope);
-        match changer.change(&mut book, request).await {
+        match changer.change(&mut snapshot, request).await {
             Ok(version) => {
                 self.metrics.change("accepted");
                 let id = request.id;
                 emit(Event::ChangeAccepted, format_args!("{id} by {operator}: {version}"));
-                drop(book);
+                drop(snapshot);
                 self.cut_log(version).await;
                 http::json(StatusCode::OK, &Accepted { version })
             }
--- a/reachhead_admin/src/api/mod.rs
+++ b/reachhead_admin/src/api/mod.rs
@@ -13,9 +13,9 @@
 use reachhead_ops::http::{self, Handler, WholeRequest, WholeResponse};
 use reachhead_store::{HostLister, Store, StoreError, config, platform::Platform};
 use reachhead_types::{
-    book::Book,
     fleet::{Fleet, RowFault, RowKey},
     size::Version,
+    snapshot::ConfigSnapshot,
 };
 use serde::Serialize;
 use tokio::sync::{Mutex, MutexGuard};
@@ -48,7 +48,7 @@
     /// Versions that the log keeps.
     keep: u64,
     /// The rows as this process has read them; changes are checked against them in turn.
-    book: Mutex<Book>,
+    snapshot: Mutex<ConfigSnapshot>,
 }
 
 /// The answer to a call that was not carried out.
@@ -83,31 +83,31 @@
             metrics,
             status,
             keep: u64::from(settings.keep.get()),
-            book: Mutex::new(Book::new()),
+            snapshot: Mutex::new(ConfigSnapshot::new()),
         }
     }
 
     /// Returns the version of the rows that this process has read.
     pub async fn version(&self) -> Version {
-        self.book.lock().await.version()
+        self.snapshot.lock().await.version()
     }
 
     /// Returns the newest rows.
-    async fn follow(&self) -> Result<MutexGuard<'_, Book>, StoreError> {
-        let mut book = self.book.lock().await;
-        config::follow(&*self.store, &mut book).await?;
-        Ok(book)
+    async fn follow(&self) -> Result<MutexGuard<'_, ConfigSnapshot>, StoreError> {
+        let mut snapshot = self.snapshot.lock().await;
+        config::follow(&*self.store, &mut snapshot).await?;
+        Ok(snapshot)
     }
 
     async fn answer(&self, request: WholeRequest) -> WholeResponse {
-        let book = match self.follow().await {
-            Ok(book) => book,
+        let snapshot = match self.follow().await {
+            Ok(snapshot) => snapshot,
             // The one token of the settings is known without the store; it then says what is down.
             Err(error) if self.auth.is_root(&request.headers) => return store_problem(&error),
             Err(_) => return problem(StatusCode::UNAUTHORIZED, "the token can't be checked now"),
         };
-        match self.auth.caller(&request.headers, &book) {
-            Some(caller) => self.route(request, caller, book).await,
+        match self.auth.caller(&request.headers, &snapshot) {
+            Some(caller) => self.route(request, caller, snapshot).await,
             None => problem(StatusCode::UNAUTHORIZED, "a bearer token is needed"),
         }
     }
@@ -116,19 +116,21 @@
         &self,
         request: WholeRequest,
         caller: Caller,
-        book: MutexGuard<'_, Book>,
+        snapshot: MutexGuard<'_, ConfigSnapshot>,
     ) -> WholeResponse {
         let path: Vec<&str> = request.path.trim_matches('/').split('/').collect();
         match (&request.method, path.as_slice()) {
-            (&Method::POST, ["v1", "changes"]) => self.change(&request.body, caller, book).await,
-            (&Method::POST, ["v1", "undo"]) => self.undo(&request.body, caller, book).await,
-            (&Method::GET, ["v1", "rows"]) => read::rows(&book, &request.query, &caller),
+            (&Method::POST, ["v1", "changes"]) => {
+                self.change(&request.body, caller, snapshot).await
+            }
+            (&Method::POST, ["v1", "undo"]) => self.undo(&request.body, caller, snapshot).await,
+            (&Method::GET, ["v1", "rows"]) => read::rows(&snapshot, &request.query, &caller),
             (method, ["v1", page @ ..]) => {
-                let Some(fleet) = fleet(&book) else {
+                let Some(fleet) = fleet(&snapshot) else {
                     return faulty();
                 };
                 // The store is used without the rows, so that nobody else is kept waiting.
-                drop(book);
+                drop(snapshot);
                 let reader = Reader { caller, fleet };
                 match page {
                     ["waves", wave @ ..] => self.waves(method, wave, &request.body, &reader).await,
@@ -150,9 +152,9 @@
     }
 }
 
-/// Returns the fleet of `book`; `None` if its rows have faults, which the check of changes rules out.
-fn fleet(book: &Book) -> Option<Fleet> {
-    Fleet::from_rows(book.version(), book.rows()).ok()
+/// Returns the fleet of `snapshot`; `None` if its rows have faults, which the check of changes rules out.
+fn fleet(snapshot: &ConfigSnapshot) -> Option<Fleet> {
+    Fleet::from_rows(snapshot.version(), snapshot.rows()).ok()
 }
 
 fn faulty() -> WholeResponse {
--- a/reachhead_admin/src/api/read.rs
+++ b/reachhead_admin/src/api/read.rs
@@ -4,11 +4,11 @@
 use reachhead_ops::http::{self, WholeResponse};
 use reachhead_store::config::{LoggedWrite, history};
 use reachhead_types::{
-    book::Book,
     fleet::{Fleet, RowKey},
     id::GroupName,
     scope::Owner,
     size::Version,
+    snapshot::ConfigSnapshot,
     tree::{Effective, Origins},
 };
 use serde::Serialize;
@@ -49,15 +49,15 @@
     }
 }
 
-pub(super) fn rows(book: &Book, query: &str, caller: &Caller) -> WholeResponse {
-    let Some(fleet) = api::fleet(book) else {
+pub(super) fn rows(snapshot: &ConfigSnapshot, query: &str, caller: &Caller) -> WholeResponse {
+    let Some(fleet) = api::fleet(snapshot) else {
         return api::faulty();
     };
     let prefix = api::parameter(query, "prefix").unwrap_or_default();
-    let rows: Vec<RowReport<'_>> = book
+    let rows: Vec<RowReport<'_>> = snapshot
         .rows()
         .filter(|(key, _)| key.to_string().starts_with(prefix) && caller.scope.reads(&fleet, key))
-        .map(|(key, value)| RowReport { key, value, version: book.row_version(key) })
+        .map(|(key, value)| RowReport { key, value, version: snapshot.row_version(key) })
         .collect();
     http::json(StatusCode::OK, &rows)
 }
--- a/reachhead_admin/src/auth.rs
+++ b/reachhead_admin/src/auth.rs
@@ -3,10 +3,10 @@
 use hyper::{HeaderMap, header};
 use reachhead_config::admin::ApiSettings;
 use reachhead_types::{
-    book::Book,
     fleet::{OperatorRow, RowKey},
     id::OperatorName,
     scope::Scope,
+    snapshot::ConfigSnapshot,
     token,
 };
 use serde::Deserialize;
@@ -52,15 +52,15 @@
         bearer(headers).is_some_and(|text| token::digest(&self.salt, text) == self.hash)
     }
 
-    /// Returns who sent a request with `headers` by the operators of `book`, or `None` if the token is
+    /// Returns who sent a request with `headers` by the operators of `snapshot`, or `None` if the token is
     /// missing or wrong.
-    pub fn caller(&self, headers: &HeaderMap, book: &Book) -> Option<Caller> {
+    pub fn caller(&self, headers: &HeaderMap, snapshot: &ConfigSnapshot) -> Option<Caller> {
         if self.is_root(headers) {
             return Some(Caller { operator: self.root.clone(), scope: Scope::Tree });
         }
         let text = bearer(headers)?;
         let operator = token::operator(text)?;
-        let value = book.get(&RowKey::Operator(operator.clone()))?;
+        let value = snapshot.get(&RowKey::Operator(operator.clone()))?;
         let row = OperatorRow::deserialize(value).ok()?;
         // Comparing digests tells an attacker nothing about the token, however long it takes.
         let is_right = token::digest(&row.salt, text) == row.hash;
--- a/reachhead_bench/src/capacity/hosts.rs
+++ b/reachhead_bench/src/capacity/hosts.rs
@@ -8,7 +8,7 @@
     eventually,
     process::Process,
 };
-use reachhead_types::moment::Moment;
+use reachhead_types::boot_instant::BootInstant;
 use serde_json::{Value, json};
 use tokio::time;
 
@@ -94,7 +94,7 @@
 /// Makes a change and returns the milliseconds until every control has it.
 async fn change(cluster: &Cluster, hosts: usize, number: u32) -> f64 {
     let row = json!({ "parent": "top", "settings": { "weight": number } });
-    let started = Moment::now();
+    let started = BootInstant::now();
     let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
     all_have(cluster, hosts, version).await;
     started.elapsed().as_secs_f64() * 1000.0
@@ -114,7 +114,7 @@
 /// Measures what happens for each host and second while `work` goes on.
 async fn sample(cluster: &Cluster, controls: &[Process], work: impl Future<Output = ()>) -> Sample {
     let before = count(cluster, controls).await;
-    let started = Moment::now();
+    let started = BootInstant::now();
     work.await;
     let seconds = started.elapsed().as_secs_f64();
     let after = count(cluster, controls).await;
--- a/reachhead_bench/src/capacity/shares.rs
+++ b/reachhead_bench/src/capacity/shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reachhead_path::share::ShareHistory;
-use reachhead_types::{id::Incarnation, member::MemberId, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, id::Incarnation, member::MemberId};
 use serde_json::{Map, Value, json};
 
 use crate::capacity::fit::{self, Point};
@@ -41,13 +41,13 @@
             Some(MemberId { host, incarnation: Incarnation(number as u64) })
         })
         .collect();
-    let now = Moment::now();
+    let now = BootInstant::now();
     let mut shares = ShareHistory::new();
     // Two lists count while one replaces the other.
     shares.note(list[1..].to_vec(), Some(list[1].clone()), now);
     shares.expire(Duration::ZERO, now);
     shares.note(list.clone(), Some(list[1].clone()), now);
-    let started = Moment::now();
+    let started = BootInstant::now();
     let total: u32 = (0..minions).map(|m| shares.usable(&format!("alpha/m{m}"), SLOTS)).sum();
     let took = started.elapsed();
     assert!(total > 0, "a host of many has some share");
--- a/reachhead_control/src/answer.rs
+++ b/reachhead_control/src/answer.rs
@@ -7,8 +7,8 @@
     server::Responder,
 };
 use reachhead_types::{
-    book::Delta,
     size::{Millis, Revision, Version},
+    snapshot::Delta,
 };
 
 use crate::view::View;
--- a/reachhead_control/src/clean.rs
+++ b/reachhead_control/src/clean.rs
@@ -16,7 +16,7 @@
     Store, StoreError, keys,
     row::{Commit, Key, Scan, Txn},
 };
-use reachhead_types::{moment::Moment, size::Revision};
+use reachhead_types::{boot_instant::BootInstant, size::Revision};
 use serde::{Deserialize, Serialize};
 use tokio::{sync::watch, time};
 
@@ -42,7 +42,7 @@
 /// The marks' row as it was last seen, and since when it has been so.
 struct Seen {
     revision: Option<Revision>,
-    since: Moment,
+    since: BootInstant,
 }
 
 /// Deletes old claims on behalf of all hosts; whoever writes a mark cleans once.
@@ -76,7 +76,7 @@
         let rows = self.store.read(vec![keys::claim_marks()]).await?;
         let row = rows.into_iter().next().flatten();
         let revision = row.as_ref().map(|row| row.revision);
-        let now = Moment::now();
+        let now = BootInstant::now();
         let since = match &self.seen {
             Some(seen) if seen.revision == revision => seen.since,
             _ => now,
--- a/reachhead_control/src/follow.rs
+++ b/reachhead_control/src/follow.rs
@@ -21,7 +21,7 @@
     row::{Commit, Row, Scan, Txn},
 };
 use reachhead_types::{
-    hosts::LeavingHosts, id::Incarnation, member::Member, moment::Moment, size::Revision,
+    boot_instant::BootInstant, hosts::LeavingHosts, id::Incarnation, member::Member, size::Revision,
 };
 use serde::Deserialize;
 use tokio::{sync::watch, time};
@@ -127,8 +127,8 @@
         let fetched = config::fetch(&*self.store, self.view.version()).await;
         self.note(match fetched {
             Ok(None) => Ok(()),
-            Ok(Some(News::Whole(book))) => {
-                self.view.adopt(book);
+            Ok(Some(News::Whole(snapshot))) => {
+                self.view.adopt(snapshot);
                 Ok(())
             }
             Ok(Some(News::Delta(delta))) => {
@@ -194,7 +194,7 @@
     async fn take_members(&self) -> Result<(), StoreError> {
         let scan =
             Scan { prefix: keys::MEMBER_PREFIX.to_owned(), after: None, limit: MEMBER_LIMIT };
-        let begun = Moment::now();
+        let begun = BootInstant::now();
         let page = self.store.scan(scan).await?;
         // First that the store is back, if it was away: during an outage no host's row moved, which tells nothing of the host.
         self.note(Ok(()));
--- a/reachhead_control/src/gossip.rs
+++ b/reachhead_control/src/gossip.rs
@@ -8,7 +8,7 @@
     client::Asker,
     message::{ControlReply, ControlRequest, GossipReply},
 };
-use reachhead_types::{moment::Moment, size::Millis};
+use reachhead_types::{boot_instant::BootInstant, size::Millis};
 
 use crate::view::{Round, View, Witness};
 
@@ -32,7 +32,7 @@
     seeds: Vec<SocketAddr>,
     period: Duration,
     /// When peers last left a question without an answer.
-    silent: BTreeMap<SocketAddr, Moment>,
+    silent: BTreeMap<SocketAddr, BootInstant>,
 }
 
 impl Gossiper {
@@ -64,7 +64,7 @@
                 list: round.list,
                 hosts: self.view.hosts_revision(),
             };
-            let asked = Moment::now();
+            let asked = BootInstant::now();
             match self.asker.ask(peer, &request) {
                 Ok(ControlReply::Gossip(reply)) => {
                     self.silent.remove(&peer);
@@ -73,7 +73,7 @@
                 Ok(_) => debug!("gossip with {peer}: an answer to another question"),
                 Err(error) => {
                     debug!("gossip with {peer}: {error}");
-                    self.silent.insert(peer, Moment::now());
+                    self.silent.insert(peer, BootInstant::now());
                 }
             }
         }
@@ -90,7 +90,7 @@
         if answering.is_empty() { peers } else { answering }
     }
 
-    fn learn(&self, peer: SocketAddr, reply: GossipReply, asked: Moment) {
+    fn learn(&self, peer: SocketAddr, reply: GossipReply, asked: BootInstant) {
         let age = reply.age.map(Millis::duration);
         let witness = Witness { is_blind: reply.is_blind, age };
         self.view.learn_list(reply.list, witness, asked);
--- a/reachhead_control/src/members.rs
+++ b/reachhead_control/src/members.rs
@@ -12,9 +12,9 @@
 
 use reachhead_link::message::{ListStamp, MemberList};
 use reachhead_types::{
+    boot_instant::BootInstant,
     id::HostId,
     member::{Member, MemberId},
-    moment::Moment,
     size::Revision,
 };
 
@@ -23,7 +23,7 @@
     id: MemberId,
     counter: u64,
     /// When this host last saw the counter move, or the store come back.
-    moved: Moment,
+    moved: BootInstant,
 }
 
 /// The rows of the list as this host has seen them move, by its own clock.
@@ -44,7 +44,7 @@
     }
 
     /// Notes that the store answers again after an outage.
-    pub fn note_back(&mut self, now: Moment) {
+    pub fn note_back(&mut self, now: BootInstant) {
         for seen in self.watched.values_mut() {
             seen.moved = now;
         }
@@ -52,7 +52,7 @@
 
     /// Notes the rows of one read of the store, as of `revision`, and tells whether the list is
     /// another one than before.
-    pub fn observe(&mut self, rows: Vec<Member>, revision: Revision, now: Moment) -> bool {
+    pub fn observe(&mut self, rows: Vec<Member>, revision: Revision, now: BootInstant) -> bool {
         let mut watched = BTreeMap::new();
         for member in &rows {
             let id = member.id();
@@ -85,7 +85,7 @@
     }
 
     /// Returns the hosts whose rows stood still for `term` at `now` and should be deleted.
-    pub fn gone(&self, term: Duration, now: Moment) -> Vec<HostId> {
+    pub fn gone(&self, term: Duration, now: BootInstant) -> Vec<HostId> {
         let is_gone = |seen: &Watched| now.duration_since(seen.moved) >= term;
         let gone = self.watched.iter().filter(|(_, seen)| is_gone(seen));
         gone.map(|(host, _)| host.clone()).collect()
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -13,13 +13,13 @@
     lease::Candidate,
 };
 use reachhead_types::{
-    book::{Book, Delta, GapError},
+    boot_instant::BootInstant,
     fleet::{Fleet, RowKey},
     hosts::LeavingHosts,
     id::{HostId, Incarnation},
     member::{Member, MemberId},
-    moment::Moment,
     size::{Millis, Revision, Version},
+    snapshot::{ConfigSnapshot, Delta, GapError},
 };
 use serde::Serialize;
 
@@ -43,16 +43,16 @@
 }
 
 struct State {
-    book: Book,
+    snapshot: ConfigSnapshot,
     members: MemberBook,
     leaving: LeavingHosts,
     /// This host's stay on the list, once it has written its row.
     own: Option<Incarnation>,
     entry_version: Version,
     /// When the store last answered.
-    store_heard: Option<Moment>,
+    store_heard: Option<BootInstant>,
     /// The newest moment at which the list of entry hosts was still the newest one.
-    confirmed: Option<Moment>,
+    confirmed: Option<BootInstant>,
     store_lost: bool,
     /// The version that gossip has handed on last.
     told: Version,
@@ -90,7 +90,7 @@
     /// Returns an empty view of `host`.
     pub fn new(host: HostId, terms: Terms) -> Arc<Self> {
         let state = State {
-            book: Book::new(),
+            snapshot: ConfigSnapshot::new(),
             members: MemberBook::new(),
             leaving: LeavingHosts::default(),
             own: None,
@@ -115,14 +115,14 @@
 
     /// Returns the version of the configuration.
     pub fn version(&self) -> Version {
-        self.state().book.version()
+        self.state().snapshot.version()
     }
 
-    /// Takes `book` if it is newer.
-    pub fn adopt(&self, book: Book) {
+    /// Takes `snapshot` if it is newer.
+    pub fn adopt(&self, snapshot: ConfigSnapshot) {
         let mut state = self.state();
-        if book.version() > state.book.version() {
-            state.book = book;
+        if snapshot.version() > state.snapshot.version() {
+            state.snapshot = snapshot;
             self.announce(&state);
         }
     }
@@ -134,35 +134,35 @@
     /// Fails if versions between are missing.
     pub fn apply(&self, delta: &Delta) -> Result<(), GapError> {
         let mut state = self.state();
-        if state.book.apply(delta)? {
+        if state.snapshot.apply(delta)? {
             self.announce(&state);
         }
         Ok(())
     }
 
     fn announce(&self, state: &State) {
-        emit(Event::ConfigInForce, format_args!("version {}", state.book.version()));
+        emit(Event::ConfigInForce, format_args!("version {}", state.snapshot.version()));
         self.news.notify_all();
     }
 
     /// Returns what changed after `have`, or `None` if nothing did.
     pub fn since(&self, have: Version) -> Option<Delta> {
         let state = self.state();
-        (state.book.version() > have).then(|| state.book.since(have))
+        (state.snapshot.version() > have).then(|| state.snapshot.since(have))
     }
 
     /// Notes whether the store answered.
     pub fn note_store(&self, answered: bool) {
         let mut state = self.state();
         if answered {
-            state.store_heard = Some(Moment::now());
+            state.store_heard = Some(BootInstant::now());
         }
         if state.store_lost == answered {
             state.store_lost = !answered;
             let event = if answered { Event::StoreBack } else { Event::StoreLost };
             emit(event, "the platform's table service");
             if answered {
-                state.members.note_back(Moment::now());
+                state.members.note_back(BootInstant::now());
             }
             // Peers are asked at once, before this host's list counts as old.
             self.news.notify_all();
@@ -193,10 +193,15 @@
 
     /// Notes the member rows of one read, begun at `begun`, and returns the hosts whose rows should
     /// be deleted.
-    pub fn observe(&self, rows: Vec<Member>, revision: Revision, begun: Moment) -> Vec<HostId> {
+    pub fn observe(
+        &self,
+        rows: Vec<Member>,
+        revision: Revision,
+        begun: BootInstant,
+    ) -> Vec<HostId> {
         let mut state = self.state();
         state.confirmed = state.confirmed.max(Some(begun));
-        let now = Moment::now();
+        let now = BootInstant::now();
         if state.members.observe(rows, revision, now) {
             tell_members(&state);
         }
@@ -208,7 +213,7 @@
     ///
     /// A peer that reads the store vouches for the list as of its own last read. Where neither can,
     /// the store is taken for down, and a store that is down changes no list.
-    pub fn learn_list(&self, list: Option<MemberList>, peer: Witness, asked: Moment) {
+    pub fn learn_list(&self, list: Option<MemberList>, peer: Witness, asked: BootInstant) {
         let mut state = self.state();
         if list.is_some_and(|list| state.members.adopt(list)) {
             tell_members(&state);
@@ -278,14 +283,15 @@
     pub fn next_round(&self, period: Duration) -> Round {
         let state = self.state();
         let was_lost = state.store_lost;
-        let is_quiet =
-            |state: &mut State| state.book.version() <= state.told && state.store_lost == was_lost;
+        let is_quiet = |state: &mut State| {
+            state.snapshot.version() <= state.told && state.store_lost == was_lost
+        };
         let (mut state, _) = self
             .news
             .wait_timeout_while(state, period, is_quiet)
             .unwrap_or_else(PoisonError::into_inner);
-        let have = state.book.version();
-        let delta = (have > state.told).then(|| state.book.since(state.told));
+        let have = state.snapshot.version();
+        let delta = (have > state.told).then(|| state.snapshot.since(state.told));
         state.told = have;
         let mut peers = state.members.members().to_vec();
         peers.retain(|member| member.host != self.host);
@@ -298,12 +304,12 @@
         let own = self.own_member();
         let state = self.state();
         let list = state.members.members();
-        let silent = state.members.gone(self.terms.lease_silence(list.len()), Moment::now());
+        let silent = state.members.gone(self.terms.lease_silence(list.len()), BootInstant::now());
         let candidate = |member: &Member| Candidate {
             id: member.id(),
             is_silent: silent.contains(&member.host),
         };
-        let pools = state.book.rows().filter_map(|(key, _)| match key {
+        let pools = state.snapshot.rows().filter_map(|(key, _)| match key {
             RowKey::Pool(name) => Some(name.clone()),
             _ => None,
         });
@@ -319,11 +325,11 @@
     /// Returns the fleet, if it is of a newer version than `have`.
     pub fn fleet_after(&self, have: Version) -> Option<Fleet> {
         // Reading all rows takes a while, so nobody is kept waiting for it.
-        let book = {
+        let snapshot = {
             let state = self.state();
-            (state.book.version() > have).then(|| state.book.clone())
+            (state.snapshot.version() > have).then(|| state.snapshot.clone())
         }?;
-        Fleet::from_rows(book.version(), book.rows()).ok()
+        Fleet::from_rows(snapshot.version(), snapshot.rows()).ok()
     }
 
     /// Notes the pools that this host is in charge of.
@@ -339,14 +345,15 @@
     /// Returns the view for operators.
     pub fn report(&self) -> ViewState {
         let state = self.state();
-        let ago = |heard: Option<Moment>| heard.map(|at| Millis(at.elapsed().as_millis() as u64));
+        let ago =
+            |heard: Option<BootInstant>| heard.map(|at| Millis(at.elapsed().as_millis() as u64));
         ViewState {
             host: self.host.clone(),
-            version: state.book.version(),
+            version: state.snapshot.version(),
             entry_version: state.entry_version,
             members: state.members.members().to_vec(),
             leaving: state.leaving.clone(),
-            rows: state.book.rows().count(),
+            rows: state.snapshot.rows().count(),
             store_heard: ago(state.store_heard),
             list_age: ago(state.confirmed),
             pools: state.pools.clone(),
--- a/reachhead_entry/src/process/core.rs
+++ b/reachhead_entry/src/process/core.rs
@@ -10,9 +10,9 @@
 use reachhead_ops::event::{Event, emit};
 use reachhead_path::claim::ClaimTable;
 use reachhead_types::{
+    boot_instant::BootInstant,
     hosts::LeavingHosts,
     id::{Incarnation, LoanId, ServiceName},
-    moment::Moment,
     size::Version,
 };
 use serde::Serialize;
@@ -51,7 +51,7 @@
     /// The hosts that are leaving by the platform's list.
     leaving: RefCell<LeavingHosts>,
     /// Until when the view of configuration and members counts as fresh.
-    fresh_until: Cell<Option<Moment>>,
+    fresh_until: Cell<Option<BootInstant>>,
     is_stopping: Cell<bool>,
     ready: Ready,
 }
@@ -118,7 +118,7 @@
             self.services.set_limits(limits);
         }
         self.loans.update(update.peers, update.longest);
-        self.attempts.borrow_mut().forget(self.settings.claims.keep.duration(), Moment::now());
+        self.attempts.borrow_mut().forget(self.settings.claims.keep.duration(), BootInstant::now());
         self.ready.set(self.not_ready(), self.fresh_until.get());
     }
 
@@ -138,7 +138,7 @@
 
     /// Tells whether a request may be dispatched now by what this host knows.
     pub fn is_fresh(&self) -> bool {
-        self.fresh_until.get().is_some_and(|until| Moment::now() < until)
+        self.fresh_until.get().is_some_and(|until| BootInstant::now() < until)
     }
 
     /// Tells whether a shutdown was asked for.
--- a/reachhead_entry/src/process/follow.rs
+++ b/reachhead_entry/src/process/follow.rs
@@ -10,13 +10,13 @@
 use reachhead_ops::event::{Event, emit};
 use reachhead_path::share::ShareHistory;
 use reachhead_types::{
-    book::Book,
+    boot_instant::BootInstant,
     fleet::Fleet,
     hosts::LeavingHosts,
     id::{MinionId, ServiceName},
     member::Member,
-    moment::Moment,
     size::{Millis, Revision},
+    snapshot::ConfigSnapshot,
 };
 use tokio::sync::mpsc;
 
@@ -48,13 +48,13 @@
     /// The longest time for which a request may run on a slot.
     pub longest: Duration,
     /// Until when this view counts as fresh; `None` if the control's list was never confirmed.
-    pub fresh_until: Option<Moment>,
+    pub fresh_until: Option<BootInstant>,
 }
 
 struct Follower {
     asker: Asker<ControlRequest, ControlReply>,
     control: SocketAddr,
-    book: Book,
+    snapshot: ConfigSnapshot,
     fleet: Arc<Fleet>,
     shares: ShareHistory,
     hosts_revision: Revision,
@@ -72,7 +72,7 @@
     let follower = Follower {
         asker: Asker::new(ASK_TIME),
         control: settings.link.control,
-        book: Book::new(),
+        snapshot: ConfigSnapshot::new(),
         fleet: Arc::default(),
         shares: ShareHistory::new(),
         hosts_revision: Revision(0),
@@ -98,9 +98,9 @@
 
     fn ask(&mut self) -> Option<Update> {
         // Freshness counts from before the question: the answer may be as old as that.
-        let asked = Moment::now();
+        let asked = BootInstant::now();
         let question =
-            ControlRequest::Follow { have: self.book.version(), hosts: self.hosts_revision };
+            ControlRequest::Follow { have: self.snapshot.version(), hosts: self.hosts_revision };
         let reply = match self.asker.ask(self.control, &question) {
             Ok(ControlReply::Follow(reply)) => Some(reply),
             _ => None,
@@ -113,7 +113,7 @@
         reply.map(|reply| self.learn(*reply, asked))
     }
 
-    fn learn(&mut self, reply: FollowReply, asked: Moment) -> Update {
+    fn learn(&mut self, reply: FollowReply, asked: BootInstant) -> Update {
         let fleet = self.apply(&reply);
         let own_host = reply.own.as_ref().map(|own| own.host.clone());
         let others = reply.members.iter().filter(|member| Some(&member.host) != own_host.as_ref());
@@ -123,7 +123,7 @@
             None => Vec::new(),
         };
         let hosts = reply.members.iter().map(Member::id).collect();
-        let now = Moment::now();
+        let now = BootInstant::now();
         let is_new_list = self.shares.note(hosts, reply.own, now);
         let is_expired = self.shares.expire(self.hold(reply.notice), now);
         let is_changed = fleet.is_some() || is_new_list || is_expired;
@@ -143,7 +143,7 @@
 
     fn apply(&mut self, reply: &FollowReply) -> Option<Arc<Fleet>> {
         let delta = reply.delta.as_ref()?;
-        match self.book.apply(delta) {
+        match self.snapshot.apply(delta) {
             Ok(true) => {}
             Ok(false) => return None,
             Err(gap) => {
@@ -151,13 +151,13 @@
                 return None;
             }
         }
-        match Fleet::from_rows(self.book.version(), self.book.rows()) {
+        match Fleet::from_rows(self.snapshot.version(), self.snapshot.rows()) {
             Ok(fleet) => {
                 self.fleet = Arc::new(fleet);
                 Some(Arc::clone(&self.fleet))
             }
             Err(faults) => {
-                let version = self.book.version();
+                let version = self.snapshot.version();
                 let first = faults.first().map(ToString::to_string).unwrap_or_default();
                 emit(Event::ConfigRefused, format_args!("version {version}: {first}"));
                 None
--- a/reachhead_entry/src/process/loans.rs
+++ b/reachhead_entry/src/process/loans.rs
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use reachhead_link::message::{EntryReply, EntryRequest, LentSlots};
 use reachhead_path::loan::LOAN_TERM;
-use reachhead_types::{id::LoanId, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 use tokio::{task::spawn_local, time};
 
 use crate::process::{asks::Asks, service::Service};
@@ -70,7 +70,7 @@
                 service.end_borrowing();
                 return;
             }
-            let asked = Moment::now();
+            let asked = BootInstant::now();
             if let Some((loan, peer, slots)) = self.ask(&service, want).await {
                 // This host may have been taken off the list while it asked.
                 if self.is_possible() {
@@ -104,8 +104,8 @@
         slots: Vec<LentSlots>,
     ) {
         time::sleep(LOAN_TERM).await;
-        let limit = Moment::now() + self.grace();
-        while service.is_over_limit(&slots) && Moment::now() < limit {
+        let limit = BootInstant::now() + self.grace();
+        while service.is_over_limit(&slots) && BootInstant::now() < limit {
             time::sleep(LOOK_PAUSE).await;
         }
         // If this is lost, the lender takes them back after the grace.
--- a/reachhead_entry/src/process/minion.rs
+++ b/reachhead_entry/src/process/minion.rs
@@ -14,9 +14,9 @@
     pick::Candidate,
 };
 use reachhead_types::{
+    boot_instant::BootInstant,
     fleet::{MinionRow, MinionState},
     id::{HostId, LoanId, MinionId, ServiceName, ZoneName},
-    moment::Moment,
 };
 use serde::Serialize;
 
@@ -28,7 +28,7 @@
 /// A connection that waits for its next request.
 struct Idle {
     sender: Sender,
-    since: Moment,
+    since: BootInstant,
 }
 
 /// A minion of one service.
@@ -47,7 +47,7 @@
     state: Cell<MinionState>,
     /// Whether its host is leaving by the platform's list.
     is_host_leaving: Cell<bool>,
-    leaving_until: Cell<Option<Moment>>,
+    leaving_until: Cell<Option<BootInstant>>,
     ejection: RefCell<Ejection>,
     idle: RefCell<Vec<Idle>>,
 }
@@ -90,7 +90,7 @@
     }
 
     /// Returns how many requests this host may run here.
-    pub fn limit(&self, now: Moment) -> u32 {
+    pub fn limit(&self, now: BootInstant) -> u32 {
         let loans = self.loans.borrow();
         match loans.is_empty() {
             true => self.share.get(),
@@ -99,12 +99,12 @@
     }
 
     /// Tells whether more requests run here than may be started now.
-    pub fn is_over_limit(&self, now: Moment) -> bool {
+    pub fn is_over_limit(&self, now: BootInstant) -> bool {
         self.running.get() > self.limit(now)
     }
 
     /// Lends up to `want` slots and returns how many.
-    pub fn lend(&self, loan: LoanId, want: u32, grace: Duration, now: Moment) -> u32 {
+    pub fn lend(&self, loan: LoanId, want: u32, grace: Duration, now: BootInstant) -> u32 {
         let share = Share { slots: self.share.get(), running: self.running.get() };
         self.loans.borrow_mut().lend(loan, share, want, grace, now)
     }
@@ -115,8 +115,8 @@
     }
 
     /// Uses slots that were borrowed by a question asked at `asked`.
-    pub fn borrow(&self, loan: LoanId, slots: u32, asked: Moment) {
-        self.loans.borrow_mut().borrow(loan, slots, asked, Moment::now());
+    pub fn borrow(&self, loan: LoanId, slots: u32, asked: BootInstant) {
+        self.loans.borrow_mut().borrow(loan, slots, asked, BootInstant::now());
     }
 
     /// Sets this host's own slots here; connections beyond them are closed.
@@ -137,19 +137,19 @@
     }
 
     /// Tells whether it takes new work as far as it and the configuration say.
-    pub fn is_serving(&self, now: Moment) -> bool {
+    pub fn is_serving(&self, now: BootInstant) -> bool {
         let said_leaving = self.leaving_until.get().is_some_and(|until| now < until);
         let is_leaving = said_leaving || self.is_host_leaving.get();
         self.state.get() == MinionState::Serving && !is_leaving
     }
 
     /// Tells whether it failed so often that it is left alone.
-    pub fn is_ejected(&self, now: Moment) -> bool {
+    pub fn is_ejected(&self, now: BootInstant) -> bool {
         self.ejection.borrow().is_ejected(now)
     }
 
     /// Returns the minion as the choice sees it.
-    pub fn candidate(&self, now: Moment, is_open: bool, was_tried: bool) -> Candidate {
+    pub fn candidate(&self, now: BootInstant, is_open: bool, was_tried: bool) -> Candidate {
         Candidate {
             running: self.running.get(),
             limit: self.limit(now),
@@ -177,7 +177,7 @@
 
     /// Notes a failure.
     pub fn fail(&self) {
-        let step = self.ejection.borrow_mut().fail(Moment::now());
+        let step = self.ejection.borrow_mut().fail(BootInstant::now());
         self.tell(step);
     }
 
@@ -192,7 +192,7 @@
 
     /// Notes that the minion said it is going away.
     pub fn note_leaving(&self) {
-        let now = Moment::now();
+        let now = BootInstant::now();
         if self.is_serving(now) {
             emit(Event::MinionLeaving, format_args!("{}/{}", self.service, self.id));
         }
@@ -214,7 +214,7 @@
     pub fn put_idle(&self, sender: Sender) {
         let mut idle = self.idle.borrow_mut();
         if !sender.is_closed() && idle.len() < self.share.get() as usize {
-            idle.push(Idle { sender, since: Moment::now() });
+            idle.push(Idle { sender, since: BootInstant::now() });
         }
     }
 
@@ -222,12 +222,12 @@
     pub fn report(&self) -> MinionReport {
         MinionReport {
             id: self.id.clone(),
-            limit: self.limit(Moment::now()),
+            limit: self.limit(BootInstant::now()),
             running: self.running.get(),
             idle: self.idle.borrow().len(),
             state: self.state.get(),
-            is_serving: self.is_serving(Moment::now()),
-            is_ejected: self.is_ejected(Moment::now()),
+            is_serving: self.is_serving(BootInstant::now()),
+            is_ejected: self.is_ejected(BootInstant::now()),
         }
     }
 }
--- a/reachhead_entry/src/process/observed.rs
+++ b/reachhead_entry/src/process/observed.rs
@@ -7,7 +7,7 @@
 
 use futures::future::{BoxFuture, FutureExt};
 use reachhead_ops::listener::Observed;
-use reachhead_types::moment::Moment;
+use reachhead_types::boot_instant::BootInstant;
 use serde_json::{Value, json};
 use tokio::{
     sync::{mpsc, oneshot},
@@ -30,19 +30,19 @@
 struct Reason {
     text: Option<&'static str>,
     /// When the view gets too old; nobody may be there to say so then.
-    fresh_until: Option<Moment>,
+    fresh_until: Option<BootInstant>,
 }
 
 impl Ready {
     /// Sets why the process is not ready, `None` if it is, and until when its view is fresh.
-    pub fn set(&self, text: Option<&'static str>, fresh_until: Option<Moment>) {
+    pub fn set(&self, text: Option<&'static str>, fresh_until: Option<BootInstant>) {
         let reason = Reason { text, fresh_until };
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = reason;
     }
 
     fn get(&self) -> Option<&'static str> {
         let reason = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_fresh = reason.fresh_until.is_some_and(|until| Moment::now() < until);
+        let is_fresh = reason.fresh_until.is_some_and(|until| BootInstant::now() < until);
         reason.text.or((!is_fresh).then_some(NO_VIEW))
     }
 }
--- a/reachhead_entry/src/process/service.rs
+++ b/reachhead_entry/src/process/service.rs
@@ -15,10 +15,10 @@
     retry::RetryBudget,
 };
 use reachhead_types::{
+    boot_instant::BootInstant,
     error::ErrorKind,
     fleet::{self, Fleet},
     id::{GroupName, HostId, LoanId, MinionId, ServiceName, ZoneName},
-    moment::Moment,
     tree::Effective,
 };
 use serde::Serialize;
@@ -77,7 +77,7 @@
     /// The minion.
     pub minion: Rc<Minion>,
     charge: Charge,
-    started: Moment,
+    started: BootInstant,
 }
 
 impl Drop for Permit {
@@ -199,7 +199,7 @@
     }
 
     fn slots(&self) -> u32 {
-        self.inner.borrow().slots(Moment::now())
+        self.inner.borrow().slots(BootInstant::now())
     }
 
     fn state(&self) -> ServiceState {
@@ -233,7 +233,7 @@
     }
 
     fn try_acquire(self: &Rc<Self>, ask: &Ask, tried: &[MinionId]) -> Result<Acquired, ErrorKind> {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let mut inner = self.inner.borrow_mut();
         if inner.queue.is_empty()
             && let Some(minion) = inner.choose(tried, now)
@@ -258,7 +258,7 @@
         }
     }
 
-    fn permit(self: &Rc<Self>, minion: Rc<Minion>, charge: Charge, now: Moment) -> Permit {
+    fn permit(self: &Rc<Self>, minion: Rc<Minion>, charge: Charge, now: BootInstant) -> Permit {
         minion.start();
         Permit { service: Rc::clone(self), minion, charge, started: now }
     }
@@ -279,7 +279,7 @@
     }
 
     fn next_turn(self: &Rc<Self>) -> Option<NextTurn> {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let mut inner = self.inner.borrow_mut();
         if inner.queue.is_empty() || inner.choose(&[], now).is_none() {
             return None;
@@ -315,7 +315,7 @@
     /// Lends up to `want` slots, if no request waits here.
     pub fn lend(&self, loan: LoanId, want: u32, grace: Duration) -> Vec<LentSlots> {
         let inner = self.inner.borrow();
-        let now = Moment::now();
+        let now = BootInstant::now();
         let mut left = if inner.queue.is_empty() { want } else { 0 };
         let mut lent = Vec::new();
         for minion in inner.minions.iter().filter(|minion| minion.is_serving(now)) {
@@ -337,7 +337,7 @@
     }
 
     /// Uses slots that were borrowed by a question asked at `asked`.
-    pub fn borrow(self: &Rc<Self>, loan: LoanId, lent: &[LentSlots], asked: Moment) {
+    pub fn borrow(self: &Rc<Self>, loan: LoanId, lent: &[LentSlots], asked: BootInstant) {
         for LentSlots { minion, slots } in lent {
             if let Some(minion) = self.minion(minion) {
                 minion.borrow(loan, *slots, asked);
@@ -348,7 +348,7 @@
 
     /// Tells whether more requests run at one of the minions of `lent` than this host may run now.
     pub fn is_over_limit(&self, lent: &[LentSlots]) -> bool {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let minions = lent.iter().filter_map(|lent| self.minion(&lent.minion));
         minions.into_iter().any(|minion| minion.is_over_limit(now))
     }
@@ -380,7 +380,7 @@
 
 impl Inner {
     /// Returns the slots at minions that take new work.
-    fn slots(&self, now: Moment) -> u32 {
+    fn slots(&self, now: BootInstant) -> u32 {
         let serving = self.minions.iter().filter(|minion| minion.is_serving(now));
         let slots: u32 = serving.map(|minion| minion.limit(now)).sum();
         match slots {
@@ -390,7 +390,7 @@
         }
     }
 
-    fn choose(&mut self, tried: &[MinionId], now: Moment) -> Option<Rc<Minion>> {
+    fn choose(&mut self, tried: &[MinionId], now: BootInstant) -> Option<Rc<Minion>> {
         let openness = self.openness(now);
         let candidates = self.minions.iter().map(|minion| {
             minion.candidate(now, openness.takes(minion, now), tried.contains(&minion.id))
@@ -400,7 +400,7 @@
     }
 
     /// Neither ejection nor leaving may empty a service: the best that there is counts as open.
-    fn openness(&self, now: Moment) -> Openness {
+    fn openness(&self, now: BootInstant) -> Openness {
         let levels = [Openness::Good, Openness::Serving];
         let has = |level: &Openness| {
             self.minions.iter().any(|minion| minion.limit(now) > 0 && level.takes(minion, now))
@@ -421,7 +421,7 @@
 }
 
 impl Openness {
-    fn takes(self, minion: &Minion, now: Moment) -> bool {
+    fn takes(self, minion: &Minion, now: BootInstant) -> bool {
         match self {
             Self::Good => minion.is_serving(now) && !minion.is_ejected(now),
             Self::Serving => minion.is_serving(now),
--- a/reachhead_entry/src/request/dispatch.rs
+++ b/reachhead_entry/src/request/dispatch.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use reachhead_types::{
+    boot_instant::BootInstant,
     error::ErrorKind,
     id::{AttemptId, MinionId},
-    moment::Moment,
 };
 
 use crate::{
@@ -57,7 +57,7 @@
     if !core.is_fresh() {
         return Err(SendError::NotSent(ErrorKind::NotReady));
     }
-    if Moment::now() >= arrived.deadline {
+    if BootInstant::now() >= arrived.deadline {
         return Err(SendError::NotSent(ErrorKind::DeadlineInQueue));
     }
     if let Some(attempt) = attempt
@@ -79,7 +79,7 @@
     error: &SendError,
     sends: u32,
 ) -> bool {
-    if Moment::now() >= arrived.deadline {
+    if BootInstant::now() >= arrived.deadline {
         return false;
     }
     let limit = core.settings.minions.sends.get();
--- a/reachhead_entry/src/request/head.rs
+++ b/reachhead_entry/src/request/head.rs
@@ -6,7 +6,7 @@
     HeaderMap,
     header::{self, HeaderName, HeaderValue},
 };
-use reachhead_types::{error::DEADLINE_HEADER, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, error::DEADLINE_HEADER};
 
 /// Fields that belong to one connection, by HTTP's rules.
 const CONNECTION_FIELDS: [HeaderName; 8] = [
@@ -42,7 +42,7 @@
 }
 
 /// Returns the fields of a request for a minion, with what is left of its time.
-pub fn for_minion(headers: &HeaderMap, deadline: Moment) -> HeaderMap {
+pub fn for_minion(headers: &HeaderMap, deadline: BootInstant) -> HeaderMap {
     let mut headers = headers.clone();
     strip(&mut headers);
     // The body is sent whole, so the library writes its length itself.
--- a/reachhead_entry/src/request/keyed.rs
+++ b/reachhead_entry/src/request/keyed.rs
@@ -15,9 +15,9 @@
 };
 use reachhead_types::{
     answer::KeptAnswer,
+    boot_instant::BootInstant,
     error::ErrorKind,
     id::{AttemptId, Fingerprint, IdempotencyKey},
-    moment::Moment,
     size::Revision,
 };
 use sha2::{Digest, Sha256};
@@ -65,7 +65,7 @@
         Meeting::New => {}
     }
     let attempt = AttemptId(rand::random());
-    core.attempts.borrow_mut().start(&store_key.0, fingerprint, attempt, Moment::now());
+    core.attempts.borrow_mut().start(&store_key.0, fingerprint, attempt, BootInstant::now());
     let row = ClaimRow {
         attempt,
         fingerprint,
--- a/reachhead_entry/src/request/mod.rs
+++ b/reachhead_entry/src/request/mod.rs
@@ -18,10 +18,10 @@
 };
 use reachhead_path::fair::Ask;
 use reachhead_types::{
+    boot_instant::BootInstant,
     error::{DEADLINE_HEADER, ErrorKind, KEY_HEADER},
     fleet::KeyUse,
     id::IdempotencyKey,
-    moment::Moment,
 };
 use tokio::time;
 
@@ -38,7 +38,7 @@
     /// Its route; a later version does not change it.
     pub route: Rc<Route>,
     /// When the caller gives up.
-    pub deadline: Moment,
+    pub deadline: BootInstant,
 }
 
 impl Arrived {
@@ -66,7 +66,7 @@
     request: Request<Incoming>,
     watch: &Watch,
 ) -> Response<ReplyBody> {
-    let started = Moment::now();
+    let started = BootInstant::now();
     // A length of `None` is that of a body in chunks: where it ends is the library's secret.
     let length = request.body().size_hint().exact();
     let arrived = match watch.is_ambiguous() {
@@ -127,7 +127,7 @@
 async fn arrive(
     core: &Core,
     request: Request<Incoming>,
-    started: Moment,
+    started: BootInstant,
 ) -> Result<Arrived, ErrorKind> {
     let (head, body) = request.into_parts();
     if !core.is_fresh() {
--- a/reachhead_entry/src/request/send.rs
+++ b/reachhead_entry/src/request/send.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, Version, body::Incoming, http::response::Parts};
-use reachhead_types::{error::ErrorKind, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, error::ErrorKind};
 use tokio::{task::spawn_local, time};
 
 use crate::{
@@ -90,7 +90,7 @@
     permit: Permit,
     sender: Sender,
     request: Request<Full<Bytes>>,
-    deadline: Moment,
+    deadline: BootInstant,
     whole: usize,
 }
 
@@ -144,7 +144,7 @@
     /// `Unknown` once a byte was handed to the connection, unless the minion refused by contract.
     pub async fn send(self, core: &Rc<Core>) -> SendResult {
         core.metrics.sends.inc();
-        let started = Moment::now();
+        let started = BootInstant::now();
         let deadline = self.deadline;
         let minion = Rc::clone(&self.permit.minion);
         // Twice the time that the caller gave: then the connection is cut and the slot given back.
@@ -173,13 +173,13 @@
 /// An exchange under way; dropped before its end, it goes on in a task of its own.
 pub struct Exchange {
     running: Option<Running>,
-    limit: Moment,
+    limit: BootInstant,
     /// Whether it has a task of its own, which ends it when the process ends.
     is_detached: bool,
 }
 
 impl Exchange {
-    fn new(running: Running, limit: Moment) -> Self {
+    fn new(running: Running, limit: BootInstant) -> Self {
         Self { running: Some(running), limit, is_detached: false }
     }
 
--- a/reachhead_jobs/src/authority.rs
+++ b/reachhead_jobs/src/authority.rs
@@ -5,7 +5,7 @@
 //! and found its lease in force, and its successor waits for as long after it took the lease.
 
 use reachhead_types::{
-    moment::Moment,
+    boot_instant::BootInstant,
     size::{FencingToken, Millis, Revision},
 };
 
@@ -32,26 +32,31 @@
     /// The holder's fencing token.
     pub token: FencingToken,
     /// No byte of the order leaves the process after this; `None` where tokens are checked.
-    pub until: Option<Moment>,
+    pub until: Option<BootInstant>,
 }
 
 /// The store's last word that the lease is in force.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Confirmation {
     /// When the question was sent: the lease may have been taken right after the store answered it.
-    asked: Option<Moment>,
+    asked: Option<BootInstant>,
 }
 
 impl Confirmation {
     /// Notes the store's answer to a question that was sent at `asked`; tells whether the lease is in force.
-    pub fn note(&mut self, asked: Moment, found: Option<Revision>, token: FencingToken) -> bool {
+    pub fn note(
+        &mut self,
+        asked: BootInstant,
+        found: Option<Revision>,
+        token: FencingToken,
+    ) -> bool {
         let held = found == Some(Revision(token.0));
         self.asked = held.then_some(asked);
         held
     }
 
     /// Returns until when orders may go out, or `None` if the store has to be asked first.
-    pub fn until(&self, now: Moment) -> Option<Moment> {
+    pub fn until(&self, now: BootInstant) -> Option<BootInstant> {
         let asked = self.asked?;
         let fresh = now.duration_since(asked) <= FRESH_TERM.duration();
         fresh.then(|| asked + ORDER_TERM.duration())
--- a/reachhead_jobs/tests/authority.rs
+++ b/reachhead_jobs/tests/authority.rs
@@ -11,7 +11,7 @@
 };
 use reachhead_property::check;
 use reachhead_types::{
-    moment::Moment,
+    boot_instant::BootInstant,
     size::{FencingToken, Millis, Revision},
 };
 
@@ -40,7 +40,7 @@
 
 #[test]
 fn orders_go_out_only_on_an_answer_that_names_the_own_token() {
-    let asked = Moment::now();
+    let asked = BootInstant::now();
     let mut confirmation = Confirmation::default();
     assert_eq!(confirmation.until(asked), None);
     assert!(confirmation.note(asked, Some(Revision(16)), TOKEN));
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_holder_that_was_frozen_after_an_answer_has_to_ask_again() {
-    let asked = Moment::now();
+    let asked = BootInstant::now();
     let mut confirmation = Confirmation::default();
     confirmation.note(asked, Some(Revision(16)), TOKEN);
     assert_eq!(confirmation.until(asked + Duration::from_secs(3)), None);
@@ -86,7 +86,7 @@
 #[test]
 fn no_order_of_a_holder_leaves_after_the_first_one_of_its_successor() {
     fn holds((asked, travel, taken, answer): (u16, u8, u16, u8)) -> bool {
-        let start = Moment::now();
+        let start = BootInstant::now();
         let at = |millis: u64| start + Duration::from_millis(millis);
         let (asked, taken) = (u64::from(asked), u64::from(taken));
         let read = asked + u64::from(travel);
--- a/reachhead_link/src/message.rs
+++ b/reachhead_link/src/message.rs
@@ -2,11 +2,11 @@
 
 use reachhead_types::{
     answer::KeptAnswer,
-    book::Delta,
     hosts::LeavingHosts,
     id::{AttemptId, HostId, Incarnation, LoanId, MinionId, ServiceName},
     member::{Member, MemberId},
     size::{Millis, Revision, Version},
+    snapshot::Delta,
 };
 use serde::{Deserialize, Serialize};
 
--- a/reachhead_node/src/clock.rs
+++ b/reachhead_node/src/clock.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use reachhead_jobs::clock::Tick;
-use reachhead_types::{moment::Moment, size::Millis};
+use reachhead_types::{boot_instant::BootInstant, size::Millis};
 
 /// The tick of the process's start: far from zero, so that the ages of jobs that are older than the
 /// process can be told.
@@ -12,13 +12,13 @@
 /// A steady clock, and the time of day.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    start: Moment,
+    start: BootInstant,
 }
 
 impl Clock {
     /// Returns a clock that starts now.
     pub fn new() -> Self {
-        Self { start: Moment::now() }
+        Self { start: BootInstant::now() }
     }
 
     /// Returns the time on the steady clock.
--- a/reachhead_node/src/mandate.rs
+++ b/reachhead_node/src/mandate.rs
@@ -9,7 +9,7 @@
     authority::{Confirmation, Mandate, ORDER_TERM},
     record::lease_key,
 };
-use reachhead_types::{id::PoolName, moment::Moment, size::FencingToken};
+use reachhead_types::{boot_instant::BootInstant, id::PoolName, size::FencingToken};
 use tokio::{sync::Mutex, time};
 
 use crate::node::Node;
@@ -38,10 +38,10 @@
             return Some(Mandate { token: self.token, until: None });
         }
         let mut confirmation = self.confirmation.lock().await;
-        if let Some(until) = confirmation.until(Moment::now()) {
+        if let Some(until) = confirmation.until(BootInstant::now()) {
             return Some(Mandate { token: self.token, until: Some(until) });
         }
-        let asked = Moment::now();
+        let asked = BootInstant::now();
         let read = self.node.services.store.read(vec![lease_key(&self.duty)]);
         let rows = match time::timeout(ORDER_TERM.duration(), read).await {
             Ok(rows) => rows,
@@ -62,7 +62,7 @@
             self.lost.store(true, Ordering::Relaxed);
             return None;
         }
-        let until = confirmation.until(Moment::now())?;
+        let until = confirmation.until(BootInstant::now())?;
         Some(Mandate { token: self.token, until: Some(until) })
     }
 
--- a/reachhead_ops/src/bounded.rs
+++ b/reachhead_ops/src/bounded.rs
@@ -20,7 +20,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, Response, client::conn::http1};
 use hyper_util::rt::TokioIo;
-use reachhead_types::moment::Moment;
+use reachhead_types::boot_instant::BootInstant;
 use tokio::{
     io::{AsyncRead, AsyncWrite, ReadBuf},
     net::TcpStream,
@@ -36,19 +36,19 @@
 /// Until when a call may write, and the clock that tells the time.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadline {
-    until: Moment,
-    clock: fn() -> Moment,
+    until: BootInstant,
+    clock: fn() -> BootInstant,
 }
 
 impl Deadline {
     /// Returns the deadline at `until`.
-    pub fn new(until: Moment) -> Self {
-        Self { until, clock: Moment::now }
+    pub fn new(until: BootInstant) -> Self {
+        Self { until, clock: BootInstant::now }
     }
 
     /// Sets the clock; a test's own, which can jump as the host's does after it was suspended.
     #[must_use]
-    pub fn with_clock(self, clock: fn() -> Moment) -> Self {
+    pub fn with_clock(self, clock: fn() -> BootInstant) -> Self {
         Self { clock, ..self }
     }
 
--- a/reachhead_ops/tests/bounded.rs
+++ b/reachhead_ops/tests/bounded.rs
@@ -15,7 +15,7 @@
     bounded::{Deadline, call_until},
     client::CallError,
 };
-use reachhead_types::moment::Moment;
+use reachhead_types::boot_instant::BootInstant;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpListener,
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn an_order_in_time_is_answered() {
     let (address, _seen) = server(true).await;
-    let until = Moment::now() + Duration::from_secs(5);
+    let until = BootInstant::now() + Duration::from_secs(5);
     let answer = call_until(address, order(address), Deadline::new(until)).await.unwrap();
     assert_eq!((answer.status().as_u16(), answer.body().as_ref()), (200, b"ok".as_ref()));
 }
@@ -71,7 +71,7 @@
 #[tokio::test]
 async fn a_process_that_is_frozen_between_the_check_and_the_send_sends_nothing() {
     let (address, seen) = server(true).await;
-    let until = Moment::now() + Duration::from_millis(30);
+    let until = BootInstant::now() + Duration::from_millis(30);
     let call = call_until(address, order(address), Deadline::new(until));
     let (result, ()) = tokio::join!(call, freeze(Duration::from_millis(120)));
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
@@ -79,8 +79,8 @@
 }
 
 /// What the clock of a host that was suspended for a while shows.
-fn resumed() -> Moment {
-    Moment::now() + Duration::from_secs(5)
+fn resumed() -> BootInstant {
+    BootInstant::now() + Duration::from_secs(5)
 }
 
 /// Timers and the steady clock stood still for the five seconds in which the host was suspended; the lease on which the order was
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn a_host_that_was_suspended_before_the_send_sends_nothing() {
     let (address, seen) = server(true).await;
-    let deadline = Deadline::new(Moment::now() + Duration::from_secs(2)).with_clock(resumed);
+    let deadline = Deadline::new(BootInstant::now() + Duration::from_secs(2)).with_clock(resumed);
     let result = call_until(address, order(address), deadline).await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
     // Whether it connected before it looked at the clock is left open; not a byte may arrive.
@@ -101,11 +101,11 @@
 #[tokio::test]
 async fn a_host_that_is_suspended_during_a_call_resets_its_connection_when_it_wakes_up() {
     static SUSPENDED: AtomicBool = AtomicBool::new(false);
-    fn clock() -> Moment {
-        if SUSPENDED.load(Ordering::Relaxed) { resumed() } else { Moment::now() }
+    fn clock() -> BootInstant {
+        if SUSPENDED.load(Ordering::Relaxed) { resumed() } else { BootInstant::now() }
     }
     let (address, seen) = server(false).await;
-    let deadline = Deadline::new(Moment::now() + Duration::from_secs(4)).with_clock(clock);
+    let deadline = Deadline::new(BootInstant::now() + Duration::from_secs(4)).with_clock(clock);
     let call = call_until(address, order(address), deadline);
     let sleep = async {
         time::sleep(Duration::from_millis(100)).await;
@@ -121,7 +121,7 @@
 #[tokio::test]
 async fn an_order_without_an_answer_is_lost_and_its_connection_reset() {
     let (address, seen) = server(false).await;
-    let until = Moment::now() + Duration::from_millis(60);
+    let until = BootInstant::now() + Duration::from_millis(60);
     let result = call_until(address, order(address), Deadline::new(until)).await;
     assert!(matches!(result, Err(CallError::Lost(_))), "{result:?}");
     let (count, reset) = time::timeout(Duration::from_secs(5), seen).await.unwrap().unwrap();
@@ -133,7 +133,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let until = Moment::now() + Duration::from_secs(1);
+    let until = BootInstant::now() + Duration::from_secs(1);
     let result = call_until(address, order(address), Deadline::new(until)).await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
 }
--- a/reachhead_path/src/claim.rs
+++ b/reachhead_path/src/claim.rs
@@ -12,8 +12,8 @@
 
 use reachhead_types::{
     answer::KeptAnswer,
+    boot_instant::BootInstant,
     id::{AttemptId, Fingerprint},
-    moment::Moment,
 };
 
 /// What became of an attempt.
@@ -62,7 +62,7 @@
 
 #[derive(Debug)]
 struct Started {
-    at: Moment,
+    at: BootInstant,
     attempt: AttemptId,
 }
 
@@ -94,7 +94,13 @@
     }
 
     /// Starts an attempt; only after [`Meeting::New`].
-    pub fn start(&mut self, key: &str, fingerprint: Fingerprint, attempt: AttemptId, now: Moment) {
+    pub fn start(
+        &mut self,
+        key: &str,
+        fingerprint: Fingerprint,
+        attempt: AttemptId,
+        now: BootInstant,
+    ) {
         let record = Record { attempt, fingerprint, state: Attempt::Pending };
         self.by_key.insert(key.to_owned(), record);
         self.keys.insert(attempt, key.to_owned());
@@ -154,7 +160,7 @@
     }
 
     /// Forgets the ended attempts that started longer than `keep` before `now`.
-    pub fn forget(&mut self, keep: Duration, now: Moment) {
+    pub fn forget(&mut self, keep: Duration, now: BootInstant) {
         while let Some(first) = self.order.front() {
             if now.duration_since(first.at) < keep {
                 return;
--- a/reachhead_path/src/eject.rs
+++ b/reachhead_path/src/eject.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachhead_types::moment::Moment;
+use reachhead_types::boot_instant::BootInstant;
 
 /// Failures in a row after which a minion is ejected.
 pub const FAILURE_LIMIT: u32 = 3;
@@ -29,7 +29,7 @@
 pub struct Ejection {
     failures: u32,
     terms: u32,
-    until: Option<Moment>,
+    until: Option<BootInstant>,
 }
 
 impl Ejection {
@@ -39,7 +39,7 @@
     }
 
     /// Tells whether the minion is ejected at `now`.
-    pub fn is_ejected(&self, now: Moment) -> bool {
+    pub fn is_ejected(&self, now: BootInstant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Notes a failure at `now`.
-    pub fn fail(&mut self, now: Moment) -> Step {
+    pub fn fail(&mut self, now: BootInstant) -> Step {
         self.failures = self.failures.saturating_add(1);
         // After a term one failure is enough for the next: the minion is on probation.
         let is_due = self.failures >= FAILURE_LIMIT || self.terms > 0;
--- a/reachhead_path/src/fair.rs
+++ b/reachhead_path/src/fair.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use reachhead_types::{fleet::Class, id::GroupName, moment::Moment, size::Weight};
+use reachhead_types::{boot_instant::BootInstant, fleet::Class, id::GroupName, size::Weight};
 
 /// Cost of a group's request before any was measured.
 const FIRST_COST: Duration = Duration::from_millis(5);
@@ -40,7 +40,7 @@
     /// Its priority inside the group.
     pub class: Class,
     /// When it is of no use any more.
-    pub deadline: Moment,
+    pub deadline: BootInstant,
 }
 
 /// What [`FairQueue::pop`] took off the queue.
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 struct Entry<T> {
     item: T,
-    deadline: Moment,
+    deadline: BootInstant,
 }
 
 #[derive(Debug)]
@@ -163,7 +163,13 @@
     ///
     /// Fails if the line is full, or if the wait by the group's share of `slots` is too long; the
     /// request was then not queued.
-    pub fn push(&mut self, ask: &Ask, item: T, slots: u32, now: Moment) -> Result<(), QueueError> {
+    pub fn push(
+        &mut self,
+        ask: &Ask,
+        item: T,
+        slots: u32,
+        now: BootInstant,
+    ) -> Result<(), QueueError> {
         if now + self.expected_wait(&ask.group, ask.class, slots) > ask.deadline {
             return Err(QueueError::Late);
         }
@@ -197,7 +203,7 @@
     }
 
     /// Takes the request whose turn it is, and every one met on the way that would be late.
-    pub fn pop(&mut self, now: Moment) -> Popped<T> {
+    pub fn pop(&mut self, now: BootInstant) -> Popped<T> {
         let mut late = Vec::new();
         while let Some((group, entry)) = self.pop_entry() {
             if !entry.item.is_wanted() {
--- a/reachhead_path/src/loan.rs
+++ b/reachhead_path/src/loan.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use reachhead_types::{id::LoanId, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 
 /// For how long a borrower may start requests on borrowed slots; shorter than any time to notice a
 /// new list of entry hosts.
@@ -17,7 +17,7 @@
 struct Loan {
     id: LoanId,
     slots: u32,
-    until: Moment,
+    until: BootInstant,
 }
 
 /// The loans of one minion's slots that one entry host has given and taken.
@@ -39,7 +39,7 @@
     }
 
     /// Returns how many requests may run with `share` slots of this host's own.
-    pub fn limit(&self, share: u32, now: Moment) -> u32 {
+    pub fn limit(&self, share: u32, now: BootInstant) -> u32 {
         share.saturating_sub(running(&self.lent, now)) + running(&self.borrowed, now)
     }
 
@@ -53,7 +53,7 @@
         share: Share,
         want: u32,
         grace: Duration,
-        now: Moment,
+        now: BootInstant,
     ) -> u32 {
         self.expire(now);
         let own = share.slots.saturating_sub(running(&self.lent, now));
@@ -66,7 +66,7 @@
     }
 
     /// Notes slots that were borrowed by a question asked at `asked`.
-    pub fn borrow(&mut self, id: LoanId, slots: u32, asked: Moment, now: Moment) {
+    pub fn borrow(&mut self, id: LoanId, slots: u32, asked: BootInstant, now: BootInstant) {
         self.expire(now);
         self.borrowed.push(Loan { id, slots, until: asked + LOAN_TERM });
     }
@@ -76,7 +76,7 @@
         self.lent.retain(|loan| loan.id != id);
     }
 
-    fn expire(&mut self, now: Moment) {
+    fn expire(&mut self, now: BootInstant) {
         self.lent.retain(|loan| loan.until > now);
         self.borrowed.retain(|loan| loan.until > now);
     }
@@ -91,6 +91,6 @@
     pub running: u32,
 }
 
-fn running(loans: &[Loan], now: Moment) -> u32 {
+fn running(loans: &[Loan], now: BootInstant) -> u32 {
     loans.iter().filter(|loan| loan.until > now).map(|loan| loan.slots).sum()
 }
--- a/reachhead_path/src/share.rs
+++ b/reachhead_path/src/share.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use reachhead_types::{member::MemberId, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, member::MemberId};
 use siphasher::sip::SipHasher13;
 
 /// Keys of the hash; part of the agreement between entry hosts, so never changed.
@@ -61,7 +61,7 @@
     own: Option<MemberId>,
     hosts: Vec<MemberId>,
     /// When this list was replaced; `None` for the list in force.
-    until: Option<Moment>,
+    until: Option<BootInstant>,
 }
 
 impl ShareHistory {
@@ -76,7 +76,7 @@
 
     /// Notes the list that is in force from `now` on, and this host's place on it, and tells
     /// whether it is a new one.
-    pub fn note(&mut self, hosts: Vec<MemberId>, own: Option<MemberId>, now: Moment) -> bool {
+    pub fn note(&mut self, hosts: Vec<MemberId>, own: Option<MemberId>, now: BootInstant) -> bool {
         let Some(last) = self.lists.back_mut() else {
             return false;
         };
@@ -89,7 +89,7 @@
     }
 
     /// Forgets the lists that ended longer than `hold` before `now` and tells whether any did.
-    pub fn expire(&mut self, hold: Duration, now: Moment) -> bool {
+    pub fn expire(&mut self, hold: Duration, now: BootInstant) -> bool {
         let before = self.lists.len();
         let is_over =
             |seen: &Seen| seen.until.is_some_and(|until| now.duration_since(until) >= hold);
--- a/reachhead_path/tests/choice.rs
+++ b/reachhead_path/tests/choice.rs
@@ -12,7 +12,7 @@
     retry::{RETRY_RESERVE, RETRY_SHARE, RetryBudget},
 };
 use reachhead_property::properties;
-use reachhead_types::moment::Moment;
+use reachhead_types::boot_instant::BootInstant;
 
 #[derive(Debug, Clone)]
 struct Any(Candidate);
@@ -68,7 +68,7 @@
 
 #[test]
 fn an_ejected_minion_comes_back_and_is_ejected_longer_each_time() {
-    let mut now = Moment::now();
+    let mut now = BootInstant::now();
     let mut ejection = Ejection::new();
     for _ in 1..FAILURE_LIMIT {
         assert_eq!(ejection.fail(now), Step::Same);
--- a/reachhead_path/tests/claim.rs
+++ b/reachhead_path/tests/claim.rs
@@ -10,8 +10,8 @@
 use reachhead_path::claim::{Attempt, ClaimTable, Meeting};
 use reachhead_property::properties;
 use reachhead_types::{
+    boot_instant::BootInstant,
     id::{AttemptId, Fingerprint},
-    moment::Moment,
 };
 
 const KEY: &str = "claim/alpha/red/k";
@@ -72,7 +72,7 @@
         }
         self.next += 1;
         let attempt = AttemptId(self.next);
-        part.table.start(KEY, PRINT, attempt, Moment::now());
+        part.table.start(KEY, PRINT, attempt, BootInstant::now());
         part.active = Some((attempt, false));
         if action % 8 == 1 {
             self.claim(host, false);
@@ -168,7 +168,7 @@
 
 #[test]
 fn an_abandoned_attempt_is_never_sent_and_a_sent_one_never_abandoned() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let mut table = ClaimTable::new();
     let (first, second) = (AttemptId(1), AttemptId(2));
     table.start(KEY, PRINT, first, now);
@@ -185,7 +185,7 @@
 
 #[test]
 fn only_ended_attempts_are_forgotten() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let keep = Duration::from_secs(10);
     let mut table = ClaimTable::new();
     table.start("a", PRINT, AttemptId(1), now);
--- a/reachhead_path/tests/fair.rs
+++ b/reachhead_path/tests/fair.rs
@@ -7,7 +7,7 @@
 use quickcheck::TestResult;
 use reachhead_path::fair::{Ask, FairQueue, QueueError, Waiting};
 use reachhead_property::properties;
-use reachhead_types::{fleet::Class, id::GroupName, moment::Moment, size::Weight};
+use reachhead_types::{boot_instant::BootInstant, fleet::Class, id::GroupName, size::Weight};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Item {
@@ -25,7 +25,7 @@
     format!("g{number}").parse().unwrap()
 }
 
-fn ask(number: u8, class: usize, deadline: Moment) -> Ask {
+fn ask(number: u8, class: usize, deadline: BootInstant) -> Ask {
     Ask { group: group(number), class: Class::ALL[class % 3], deadline }
 }
 
@@ -64,7 +64,7 @@
 
 properties! {
     fn turns_are_those_of_the_naive_queue(steps: Vec<Option<(u8, u8)>>) -> bool {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let deadline = now + Duration::from_secs(3600);
         let mut queue = FairQueue::new();
         let mut naive = Naive::default();
@@ -79,7 +79,7 @@
     }
 
     fn no_request_is_lost_or_given_twice(steps: Vec<Option<(u8, u8, bool)>>) -> bool {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let deadline = now + Duration::from_secs(3600);
         let mut queue = FairQueue::new();
         let mut expected = Vec::new();
@@ -108,7 +108,7 @@
     fn slot_time_is_shared_by_weight(weights: (u8, u8, u8), costs: (u8, u8, u8)) -> TestResult {
         let weights = [weights.0, weights.1, weights.2].map(|weight| u32::from(weight % 4) + 1);
         let costs = [costs.0, costs.1, costs.2].map(|cost| u64::from(cost % 50) + 1);
-        let now = Moment::now();
+        let now = BootInstant::now();
         let deadline = now + Duration::from_secs(36_000);
         let mut queue = FairQueue::new();
         for (number, weight) in weights.iter().enumerate() {
@@ -141,7 +141,7 @@
 
 #[test]
 fn urgent_requests_of_a_group_go_first_and_never_before_another_groups_turn() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let deadline = now + Duration::from_secs(10);
     let mut queue = FairQueue::new();
     for (number, (owner, class)) in [(0, 2), (0, 0), (1, 2), (0, 0)].into_iter().enumerate() {
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_group_that_was_idle_does_not_save_its_share_up() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let deadline = now + Duration::from_secs(3600);
     let mut queue: FairQueue<Item> = FairQueue::new();
     for _ in 0..1000 {
@@ -173,7 +173,7 @@
 
 #[test]
 fn late_and_surplus_requests_are_refused_and_late_ones_dropped_at_the_head() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let mut queue = FairQueue::new();
     queue.set_group(&group(0), Weight(1), 3);
     let soon = ask(0, 1, now + Duration::from_millis(12));
--- a/reachhead_path/tests/loan.rs
+++ b/reachhead_path/tests/loan.rs
@@ -4,7 +4,7 @@
 
 use reachhead_path::loan::{LOAN_TERM, LoanBook, Share};
 use reachhead_property::properties;
-use reachhead_types::{id::LoanId, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 
 const GRACE: Duration = Duration::from_millis(500);
 
@@ -12,15 +12,15 @@
 struct Host {
     book: LoanBook,
     share: u32,
-    ends: Vec<Moment>,
+    ends: Vec<BootInstant>,
 }
 
 impl Host {
-    fn running(&self, now: Moment) -> u32 {
+    fn running(&self, now: BootInstant) -> u32 {
         self.ends.iter().filter(|&&end| end > now).count() as u32
     }
 
-    fn try_start(&mut self, now: Moment, length: Duration) {
+    fn try_start(&mut self, now: BootInstant, length: Duration) {
         if self.running(now) < self.book.limit(self.share, now) {
             self.ends.push(now + length);
         }
@@ -31,7 +31,7 @@
     /// Hosts start requests whenever they may, ask each other for loans, answers take their time,
     /// and some borrowers return early; no request is longer than the grace.
     fn the_sum_never_passes_the_limit(steps: Vec<(u8, u8, u16)>) -> bool {
-        let start = Moment::now();
+        let start = BootInstant::now();
         let mut hosts: Vec<Host> = [3, 3, 2]
             .into_iter()
             .map(|share| Host { book: LoanBook::new(), share, ends: Vec::new() })
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_loan_ends_by_the_return_or_by_the_term_and_the_grace() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let mut lender = LoanBook::new();
     let share = Share { slots: 8, running: 2 };
     assert_eq!(lender.lend(LoanId(1), share, 10, GRACE, now), 3);
--- a/reachhead_path/tests/share.rs
+++ b/reachhead_path/tests/share.rs
@@ -7,7 +7,7 @@
 use quickcheck::TestResult;
 use reachhead_path::share::{ShareHistory, owners, score};
 use reachhead_property::properties;
-use reachhead_types::{id::Incarnation, member::MemberId, moment::Moment};
+use reachhead_types::{boot_instant::BootInstant, id::Incarnation, member::MemberId};
 
 fn host(number: u8) -> MemberId {
     stay(number, 0)
@@ -57,7 +57,7 @@
     fn hosts_with_one_list_use_each_slot_once(count: u8, slots: u8) -> TestResult {
         let count = count % 12 + 1;
         let hosts: Vec<MemberId> = (0..count).map(host).collect();
-        let now = Moment::now();
+        let now = BootInstant::now();
         let hold = Duration::from_secs(1);
         let used: u32 = hosts
             .iter()
@@ -76,7 +76,7 @@
     fn no_slot_is_used_twice_while_lists_change(changes: Vec<(u8, u16)>, delays: Vec<u16>) -> bool {
         const HOLD: u64 = 1000;
         const NOTICE: u64 = HOLD / 2;
-        let start = Moment::now();
+        let start = BootInstant::now();
         let mut lists = vec![(0, vec![host(0), host(1), host(2)])];
         let mut at = HOLD * 2;
         for (number, (which, gap)) in changes.into_iter().take(6).enumerate() {
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_new_process_uses_nothing_before_the_hold_is_over() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
     shares.note(vec![host(1)], Some(host(1)), now);
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_host_off_the_list_stops_at_once() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let mut shares = ShareHistory::new();
     shares.note(vec![host(1), host(2)], Some(host(1)), now);
     shares.expire(Duration::ZERO, now);
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_host_that_was_off_the_list_unseen_waits_out_the_hold() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
     shares.note(vec![stay(1, 1)], Some(stay(1, 1)), now);
--- a/reachhead_pool/src/controller/leases.rs
+++ b/reachhead_pool/src/controller/leases.rs
@@ -7,9 +7,9 @@
     row::{Commit, Row, Txn},
 };
 use reachhead_types::{
+    boot_instant::BootInstant,
     id::PoolName,
     member::MemberId,
-    moment::Moment,
     pool::LeaseRow,
     size::{Epoch, Revision},
 };
@@ -56,7 +56,7 @@
 
     /// Tells whether another host has had for too long what should be this host's.
     fn is_overdue(&mut self, pool: &PoolName) -> bool {
-        let since = self.awaited.entry(pool.clone()).or_insert_with(Moment::now);
+        let since = self.awaited.entry(pool.clone()).or_insert_with(BootInstant::now);
         since.elapsed() >= self.terms.hand_over
     }
 
--- a/reachhead_pool/src/controller/mod.rs
+++ b/reachhead_pool/src/controller/mod.rs
@@ -21,9 +21,9 @@
     row::Row,
 };
 use reachhead_types::{
+    boot_instant::BootInstant,
     id::{HostId, PoolName},
     member::MemberId,
-    moment::Moment,
     pool::{HostPhase, WaveRow},
     size::{Epoch, Revision},
 };
@@ -81,9 +81,9 @@
 struct Tracked {
     host: Host,
     /// Since when it has been seen drained, by this process's clock.
-    drained_since: Option<Moment>,
+    drained_since: Option<BootInstant>,
     /// Since when a budget that it spends has been seen overspent.
-    overspent_since: Option<Moment>,
+    overspent_since: Option<BootInstant>,
 }
 
 /// A pool in charge, for operators.
@@ -119,7 +119,7 @@
     terms: Terms,
     held: BTreeMap<PoolName, Held>,
     /// Since when pools that should be this host's have been others'.
-    awaited: BTreeMap<PoolName, Moment>,
+    awaited: BTreeMap<PoolName, BootInstant>,
     events: Vec<PoolEvent>,
 }
 
@@ -239,7 +239,7 @@
         is_overspent: bool,
         confirm: Duration,
     ) -> Observation {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let is_drained = status.as_ref().is_some_and(HostStatus::is_drained);
         self.drained_since = is_drained.then(|| self.drained_since.unwrap_or(now));
         self.overspent_since = is_overspent.then(|| self.overspent_since.unwrap_or(now));
--- a/reachhead_store/src/config/change.rs
+++ b/reachhead_store/src/config/change.rs
@@ -4,11 +4,11 @@
 
 use rand::Rng;
 use reachhead_types::{
-    book::{Book, Change, Delta},
     fleet::{Fleet, RowFault, RowKey},
     id::OperatorName,
     scope::{self, Scope},
     size::{Millis, Revision, Version},
+    snapshot::{Change, ConfigSnapshot, Delta},
 };
 use serde::Serialize;
 use serde_json::Value;
@@ -46,7 +46,7 @@
 struct Step {
     before: Fleet,
     after: Fleet,
-    next: Book,
+    next: ConfigSnapshot,
 }
 
 impl<'s> Changer<'s> {
@@ -62,20 +62,20 @@
         self
     }
 
-    /// Makes the change, with `book` as the cache of rows that it is checked against.
+    /// Makes the change, with `snapshot` as the cache of rows that it is checked against.
     ///
     /// # Errors
     ///
     /// See [`ChangeError`]; only `Unknown` leaves open whether the change was made.
     pub async fn change(
         &self,
-        book: &mut Book,
+        snapshot: &mut ConfigSnapshot,
         request: &ChangeRequest,
     ) -> Result<Version, ChangeError> {
         let mut lost = None;
         let mut pause = FIRST_PAUSE;
         for _ in 0..TRY_LIMIT {
-            match self.attempt(book, request).await {
+            match self.attempt(snapshot, request).await {
                 Ok(Some(version)) => return Ok(version),
                 // Another change came first; with what it changed this one is checked again.
                 Ok(None) => {}
@@ -97,7 +97,7 @@
     /// Tries once; `None` means that another change came first.
     async fn attempt(
         &self,
-        book: &mut Book,
+        snapshot: &mut ConfigSnapshot,
         request: &ChangeRequest,
     ) -> Result<Option<Version>, ChangeError> {
         let keys = vec![keys::change(request.id), keys::head()];
@@ -108,17 +108,17 @@
             return Ok(Some(row.version));
         }
         let head = parse_head(rows.get(1)).map_err(ChangeError::NotDone)?;
-        if head.row.version != book.version() {
-            follow(self.store, book).await.map_err(ChangeError::NotDone)?;
+        if head.row.version != snapshot.version() {
+            follow(self.store, snapshot).await.map_err(ChangeError::NotDone)?;
             return Ok(None);
         }
         check_distinct(request)?;
-        let step = self.step(book, request)?;
-        let mut txn = self.txn(book, &step, request, head.revision);
+        let step = self.step(snapshot, request)?;
+        let mut txn = self.txn(snapshot, &step, request, head.revision);
         txn.checks.extend(self.empty_pools(request).await?);
         match self.store.commit(txn).await {
             Ok(Commit::Done(_)) => {
-                *book = step.next;
+                *snapshot = step.next;
                 Ok(Some(step.after.version))
             }
             Ok(Commit::Conflict(_)) => Ok(None),
@@ -150,15 +150,20 @@
 
     /// Works the change out and checks it; what the operator may not touch comes first, so that no
     /// other fault tells of it.
-    fn step(&self, book: &Book, request: &ChangeRequest) -> Result<Step, ChangeError> {
+    fn step(
+        &self,
+        snapshot: &ConfigSnapshot,
+        request: &ChangeRequest,
+    ) -> Result<Step, ChangeError> {
         let keys: Vec<RowKey> = request.writes.iter().map(|write| write.key.clone()).collect();
-        let before = Fleet::from_rows(book.version(), book.rows()).map_err(ChangeError::Faulty)?;
+        let before =
+            Fleet::from_rows(snapshot.version(), snapshot.rows()).map_err(ChangeError::Faulty)?;
         self.allow(&before, &before, &keys)?;
-        check_expected(book, request)?;
-        let version = book.version().next();
-        let mut next = book.clone();
+        check_expected(snapshot, request)?;
+        let version = snapshot.version().next();
+        let mut next = snapshot.clone();
         let gap = |_| ChangeError::NotDone(StoreError::NotDone("the book moved".to_owned()));
-        next.apply(&delta(book, request)).map_err(gap)?;
+        next.apply(&delta(snapshot, request)).map_err(gap)?;
         let faulty = |faults| ChangeError::Faulty(self.own_faults(&before, &keys, faults));
         let after = Fleet::from_rows(version, next.rows()).map_err(faulty)?;
         self.allow(&before, &after, &keys)?;
@@ -193,7 +198,7 @@
 
     fn txn(
         &self,
-        book: &Book,
+        snapshot: &ConfigSnapshot,
         step: &Step,
         request: &ChangeRequest,
         head: Option<Revision>,
@@ -205,7 +210,7 @@
             .with_check(keys::change(request.id), None)
             .with_write(keys::head(), json(&HeadRow { version }))
             .with_write(keys::change(request.id), json(&ChangeRow { version }))
-            .with_write(keys::log(version), json(&self.log(book, step, request)));
+            .with_write(keys::log(version), json(&self.log(snapshot, step, request)));
         for ConfigWrite { key, value, .. } in &request.writes {
             txn = txn.with_write(keys::history(key, version), json(&ChangeRow { version }));
             txn = match value.clone() {
@@ -218,11 +223,11 @@
         txn
     }
 
-    fn log(&self, book: &Book, step: &Step, request: &ChangeRequest) -> LogRow {
+    fn log(&self, snapshot: &ConfigSnapshot, step: &Step, request: &ChangeRequest) -> LogRow {
         let writes = request.writes.iter().map(|ConfigWrite { key, value, .. }| LoggedWrite {
             key: key.clone(),
             value: value.clone(),
-            before: book.get(key).cloned(),
+            before: snapshot.get(key).cloned(),
             reader: scope::change_reader(&step.before, &step.after, key),
         });
         LogRow {
@@ -235,15 +240,15 @@
     }
 }
 
-/// Returns the change as what it does to `book`.
-fn delta(book: &Book, request: &ChangeRequest) -> Delta {
-    let version = book.version().next();
+/// Returns the change as what it does to `snapshot`.
+fn delta(snapshot: &ConfigSnapshot, request: &ChangeRequest) -> Delta {
+    let version = snapshot.version().next();
     let changes = request.writes.iter().map(|ConfigWrite { key, value, .. }| Change {
         key: key.clone(),
         value: value.clone().map(Arc::new),
         version,
     });
-    Delta { from: book.version(), to: version, changes: changes.collect() }
+    Delta { from: snapshot.version(), to: version, changes: changes.collect() }
 }
 
 /// Returns the JSON of a row; these types have no map whose keys JSON can't write.
@@ -268,11 +273,11 @@
 }
 
 /// Refuses a change of rows that another operator changed since they were read.
-fn check_expected(book: &Book, request: &ChangeRequest) -> Result<(), ChangeError> {
+fn check_expected(snapshot: &ConfigSnapshot, request: &ChangeRequest) -> Result<(), ChangeError> {
     let raced: Vec<RowKey> = request
         .writes
         .iter()
-        .filter(|write| write.expected.is_some_and(|seen| seen != book.row_version(&write.key)))
+        .filter(|write| write.expected.is_some_and(|seen| seen != snapshot.row_version(&write.key)))
         .map(|write| write.key.clone())
         .collect();
     match raced.is_empty() {
--- a/reachhead_store/src/config/follow.rs
+++ b/reachhead_store/src/config/follow.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use reachhead_types::{
-    book::{Book, Change, Delta, GapError},
     size::{Revision, Version},
+    snapshot::{Change, ConfigSnapshot, Delta, GapError},
 };
 
 use crate::{
@@ -26,7 +26,7 @@
     /// The changes after its version.
     Delta(Delta),
     /// Everything, since the log does not reach back so far.
-    Whole(Book),
+    Whole(ConfigSnapshot),
 }
 
 /// Returns what a follower at version `have` lacks, or `None` if that is the newest.
@@ -46,21 +46,21 @@
     match delta {
         Some(delta) if delta.to >= head.version => Ok(Some(News::Delta(delta))),
         // The log does not reach from here to there.
-        _ => read_whole(store, head.version).await.map(|book| Some(News::Whole(book))),
+        _ => read_whole(store, head.version).await.map(|snapshot| Some(News::Whole(snapshot))),
     }
 }
 
-/// Brings `book` up to the newest version and tells whether it went up.
+/// Brings `snapshot` up to the newest version and tells whether it went up.
 ///
 /// # Errors
 ///
 /// Any [`StoreError`]; the book is then as it was.
-pub async fn follow(store: &dyn Store, book: &mut Book) -> Result<bool, StoreError> {
-    match fetch(store, book.version()).await? {
+pub async fn follow(store: &dyn Store, snapshot: &mut ConfigSnapshot) -> Result<bool, StoreError> {
+    match fetch(store, snapshot.version()).await? {
         None => Ok(false),
-        Some(News::Delta(delta)) => book.apply(&delta).map_err(|gap| gap_error(&gap)),
+        Some(News::Delta(delta)) => snapshot.apply(&delta).map_err(|gap| gap_error(&gap)),
         Some(News::Whole(whole)) => {
-            *book = whole;
+            *snapshot = whole;
             Ok(true)
         }
     }
@@ -111,7 +111,7 @@
 }
 
 /// Reads all rows; pages of different moments are made one version by the log.
-async fn read_whole(store: &dyn Store, before: Version) -> Result<Book, StoreError> {
+async fn read_whole(store: &dyn Store, before: Version) -> Result<ConfigSnapshot, StoreError> {
     let mut changes = Vec::new();
     let mut after = None;
     loop {
@@ -134,12 +134,12 @@
     }
     // The rows hold at least version `before`, some maybe newer; whole writes make it safe to
     // apply the log from `before` on over them.
-    let mut book = Book::new();
+    let mut snapshot = ConfigSnapshot::new();
     let whole = Delta { from: Version(0), to: before, changes };
-    book.apply(&whole).map_err(|gap| gap_error(&gap))?;
+    snapshot.apply(&whole).map_err(|gap| gap_error(&gap))?;
     match read_log(store, before).await? {
-        Some(delta) => book.apply(&delta).map_err(|gap| gap_error(&gap))?,
+        Some(delta) => snapshot.apply(&delta).map_err(|gap| gap_error(&gap))?,
         None => return Err(StoreError::NotDone("the log has a gap".to_owned())),
     };
-    Ok(book)
+    Ok(snapshot)
 }
--- a/reachhead_store/tests/config.rs
+++ b/reachhead_store/tests/config.rs
@@ -16,10 +16,10 @@
     row::{Commit, Key, Page, Row, Scan, Txn},
 };
 use reachhead_types::{
-    book::Book,
     fleet::RowKey,
     id::ChangeId,
     size::{Millis, Version},
+    snapshot::ConfigSnapshot,
 };
 use serde_json::json;
 
@@ -91,14 +91,14 @@
     let operators = (0..4_u128).map(|operator| {
         let store = Arc::clone(&store);
         tokio::spawn(async move {
-            let mut book = Book::new();
+            let mut snapshot = ConfigSnapshot::new();
             let mut accepted = Vec::new();
             for number in 0..10_u128 {
                 let id = operator * 100 + number;
                 let row = format!("group/o{}", (operator + number) % 3);
                 let request = request(id, &row, id as u32 + 1, None);
                 loop {
-                    match changer(&*store).change(&mut book, &request).await {
+                    match changer(&*store).change(&mut snapshot, &request).await {
                         Ok(version) => {
                             accepted.push((id, version));
                             break;
@@ -126,10 +126,10 @@
         let row = format!("group/o{}", (id / 100 + id % 100) % 3);
         expected.insert(row, json!({ "settings": { "queue": *id as u32 + 1 } }));
     }
-    let mut book = Book::new();
-    assert!(config::follow(&store.inner, &mut book).await.unwrap());
+    let mut snapshot = ConfigSnapshot::new();
+    assert!(config::follow(&store.inner, &mut snapshot).await.unwrap());
     let rows: BTreeMap<String, _> =
-        book.rows().map(|(key, value)| (key.to_string(), value.clone())).collect();
+        snapshot.rows().map(|(key, value)| (key.to_string(), value.clone())).collect();
     assert_eq!(rows, expected);
 }
 
@@ -144,28 +144,29 @@
 #[tokio::test(start_paused = true)]
 async fn a_change_of_a_row_that_moved_is_refused_and_others_do_not_collide() {
     let store = MemoryStore::new();
-    let mut book = Book::new();
-    let first = changer(&store).change(&mut book, &request(1, "group/a", 1, None)).await.unwrap();
+    let mut snapshot = ConfigSnapshot::new();
+    let first =
+        changer(&store).change(&mut snapshot, &request(1, "group/a", 1, None)).await.unwrap();
     let second =
-        changer(&store).change(&mut book, &request(2, "group/b", 2, Some(Version(0)))).await;
+        changer(&store).change(&mut snapshot, &request(2, "group/b", 2, Some(Version(0)))).await;
     assert_eq!(second.unwrap(), Version(2));
     // Someone else changed group b meanwhile; group a is still as it was seen.
-    let stale = changer(&store).change(&mut book, &request(3, "group/b", 3, Some(first))).await;
+    let stale = changer(&store).change(&mut snapshot, &request(3, "group/b", 3, Some(first))).await;
     let key: RowKey = "group/b".parse().unwrap();
     assert!(matches!(stale, Err(ChangeError::Raced(rows)) if rows == [key]));
-    let fine = changer(&store).change(&mut book, &request(4, "group/a", 4, Some(first))).await;
+    let fine = changer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
     assert_eq!(fine.unwrap(), Version(3));
     // The same change again is the same version and changes nothing more.
-    let again = changer(&store).change(&mut book, &request(4, "group/a", 4, Some(first))).await;
+    let again = changer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
     assert_eq!(again.unwrap(), Version(3));
-    assert_eq!(book.version(), Version(3));
+    assert_eq!(snapshot.version(), Version(3));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_follower_far_behind_reads_all_rows_and_comes_to_the_same() {
     let store = MemoryStore::new();
-    let mut writer = Book::new();
-    let mut near = Book::new();
+    let mut writer = ConfigSnapshot::new();
+    let mut near = ConfigSnapshot::new();
     for number in 0..200_u128 {
         let row = format!("group/g{}", number % 70);
         let request = request(number, &row, number as u32 + 1, None);
@@ -174,10 +175,12 @@
             config::follow(&store, &mut near).await.unwrap();
         }
     }
-    let mut far = Book::new();
+    let mut far = ConfigSnapshot::new();
     config::follow(&store, &mut near).await.unwrap();
     config::follow(&store, &mut far).await.unwrap();
-    let rows = |book: &Book| book.rows().map(|(k, v)| (k.clone(), v.clone())).collect::<Vec<_>>();
+    let rows = |snapshot: &ConfigSnapshot| {
+        snapshot.rows().map(|(k, v)| (k.clone(), v.clone())).collect::<Vec<_>>()
+    };
     assert_eq!(rows(&near), rows(&writer));
     assert_eq!(rows(&far), rows(&writer));
     assert_eq!(far.version(), Version(200));
--- a/reachhead_store/tests/history.rs
+++ b/reachhead_store/tests/history.rs
@@ -12,10 +12,10 @@
     memory::MemoryStore,
 };
 use reachhead_types::{
-    book::{Book, Change, Delta},
     fleet::RowKey,
     id::ChangeId,
     size::{Millis, Version},
+    snapshot::{Change, ConfigSnapshot, Delta},
 };
 use serde_json::{Value, json};
 
@@ -26,27 +26,27 @@
 
 struct History {
     store: MemoryStore,
-    book: Book,
+    snapshot: ConfigSnapshot,
     /// The rows as of each version, version 0 first.
     copies: Vec<Rows>,
     /// The rows that each version wrote, version 0 first.
     written: Vec<Vec<RowKey>>,
 }
 
-fn rows(book: &Book) -> Rows {
-    book.rows().map(|(key, value)| (key.clone(), value.clone())).collect()
+fn rows(snapshot: &ConfigSnapshot) -> Rows {
+    snapshot.rows().map(|(key, value)| (key.clone(), value.clone())).collect()
 }
 
 impl History {
     fn new() -> Self {
-        let (store, book) = (MemoryStore::new(), Book::new());
-        Self { store, book, copies: vec![Rows::new()], written: vec![Vec::new()] }
+        let (store, snapshot) = (MemoryStore::new(), ConfigSnapshot::new());
+        Self { store, snapshot, copies: vec![Rows::new()], written: vec![Vec::new()] }
     }
 
     fn change(&mut self, request: &ChangeRequest) -> Result<Version, ChangeError> {
         let changer = Changer::new(&self.store, "tester".parse().unwrap(), Millis(0));
-        let version = block_on(changer.change(&mut self.book, request))?;
-        self.copies.push(rows(&self.book));
+        let version = block_on(changer.change(&mut self.snapshot, request))?;
+        self.copies.push(rows(&self.snapshot));
         self.written.push(request.writes.iter().map(|write| write.key.clone()).collect());
         Ok(version)
     }
@@ -127,7 +127,7 @@
                         None => expected.remove(key),
                     };
                 }
-                let is_right = moved.is_empty() && rows(&history.book) == expected;
+                let is_right = moved.is_empty() && rows(&history.snapshot) == expected;
                 // The same undo again is the same change.
                 let again = history.change(&request).unwrap();
                 TestResult::from_bool(is_right && again.0 == newest as u64 + 1)
@@ -195,7 +195,7 @@
         });
         // Followers that were anywhere come to the same rows.
         let is_followed = (0..=newest).all(|from| {
-            let mut book = Book::new();
+            let mut snapshot = ConfigSnapshot::new();
             for version in 1..=from {
                 let changes = history.copies[version].iter().map(|(key, value)| Change {
                     key: key.clone(),
@@ -204,10 +204,10 @@
                 });
                 let whole =
                     Delta { from: Version(0), to: Version(version as u64), changes: changes.collect() };
-                book.apply(&whole).unwrap();
+                snapshot.apply(&whole).unwrap();
             }
-            block_on(config::follow(&history.store, &mut book)).unwrap();
-            rows(&book) == history.copies[newest]
+            block_on(config::follow(&history.store, &mut snapshot)).unwrap();
+            rows(&snapshot) == history.copies[newest]
         });
         versions == kept.iter().take(100).copied().collect::<Vec<u64>>() && is_named && is_followed
     }
--- a/reachhead_store/tests/scope.rs
+++ b/reachhead_store/tests/scope.rs
@@ -10,7 +10,7 @@
     config::{ChangeError, ChangeRequest, Changer, ConfigWrite},
     memory::MemoryStore,
 };
-use reachhead_types::{book::Book, id::ChangeId, scope::Scope, size::Millis};
+use reachhead_types::{id::ChangeId, scope::Scope, size::Millis, snapshot::ConfigSnapshot};
 use serde_json::{Value, json};
 
 type Rows = BTreeMap<String, Value>;
@@ -81,8 +81,8 @@
     (key, (!is_deleted).then_some(value))
 }
 
-fn rows(book: &Book) -> Rows {
-    book.rows().map(|(key, value)| (key.to_string(), value.clone())).collect()
+fn rows(snapshot: &ConfigSnapshot) -> Rows {
+    snapshot.rows().map(|(key, value)| (key.to_string(), value.clone())).collect()
 }
 
 fn request(id: usize, writes: Vec<(String, Option<Value>)>) -> ChangeRequest {
@@ -125,12 +125,12 @@
 properties! {
     fn an_operator_changes_nothing_outside_its_subtree(drawn: Vec<(u8, u8, u8)>) -> bool {
         let store = MemoryStore::new();
-        let mut book = Book::new();
+        let mut snapshot = ConfigSnapshot::new();
         let first = first_rows().into_iter().map(|(key, value)| (key, Some(value))).collect();
         let root = Changer::new(&store, "root".parse().unwrap(), Millis(0));
-        block_on(root.change(&mut book, &request(0, first))).unwrap();
+        block_on(root.change(&mut snapshot, &request(0, first))).unwrap();
         for (index, (kind, name, other)) in drawn.into_iter().enumerate() {
-            let before = rows(&book);
+            let before = rows(&snapshot);
             let (key, value) = write(kind, name, other);
             let mut naive = before.clone();
             match value.clone() {
@@ -139,8 +139,8 @@
             };
             let red = Changer::new(&store, "o-red".parse().unwrap(), Millis(0))
                 .with_scope(Scope::Group("red".parse().unwrap()));
-            let result = block_on(red.change(&mut book, &request(index + 1, vec![(key.clone(), value)])));
-            let after = rows(&book);
+            let result = block_on(red.change(&mut snapshot, &request(index + 1, vec![(key.clone(), value)])));
+            let after = rows(&snapshot);
             let is_right = match result {
                 Ok(_) => after == naive && is_allowed(&key, &before, &after),
                 Err(ChangeError::Forbidden(_)) => after == before && !is_allowed(&key, &before, &naive),
--- a/reachhead_types/src/moment.rs
+++ b/reachhead_types/src/boot_instant.rs
@@ -13,11 +13,11 @@
 
 /// A moment on the host's clock since its start, with the time in which the host was suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Moment {
+pub struct BootInstant {
     since_boot: Duration,
 }
 
-impl Moment {
+impl BootInstant {
     /// Returns the present.
     pub fn now() -> Self {
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
@@ -42,7 +42,7 @@
     }
 }
 
-impl Add<Duration> for Moment {
+impl Add<Duration> for BootInstant {
     type Output = Self;
 
     fn add(self, span: Duration) -> Self {
@@ -50,13 +50,13 @@
     }
 }
 
-impl AddAssign<Duration> for Moment {
+impl AddAssign<Duration> for BootInstant {
     fn add_assign(&mut self, span: Duration) {
         *self = *self + span;
     }
 }
 
-impl Sub<Duration> for Moment {
+impl Sub<Duration> for BootInstant {
     type Output = Self;
 
     fn sub(self, span: Duration) -> Self {
--- a/reachhead_types/src/lib.rs
+++ b/reachhead_types/src/lib.rs
@@ -1,15 +1,15 @@
 //! Domain types that every program shares: ids, sizes, the fleet's rows and the error kinds.
 
 pub mod answer;
-pub mod book;
+pub mod boot_instant;
 pub mod error;
 pub mod fleet;
 pub mod hosts;
 pub mod id;
 pub mod member;
-pub mod moment;
 pub mod pool;
 pub mod scope;
 pub mod size;
+pub mod snapshot;
 pub mod token;
 pub mod tree;
--- a/reachhead_types/src/book.rs
+++ b/reachhead_types/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! The configuration rows of one version, and the deltas by which processes hand them on.
 //!
-//! Every process that follows the configuration keeps a [`Book`]. Versions only go up in it, from
+//! Every process that follows the configuration keeps a [`ConfigSnapshot`]. Versions only go up in it, from
 //! whichever side a delta comes; docs/CONFIGURATION.md tells how it spreads.
 
 use std::{collections::BTreeMap, sync::Arc};
@@ -55,7 +55,7 @@
 
 /// The configuration rows of one version.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Book {
+pub struct ConfigSnapshot {
     version: Version,
     entries: BTreeMap<RowKey, Entry>,
     /// No deletion up to this version is remembered any more.
@@ -63,7 +63,7 @@
     deleted: usize,
 }
 
-impl Book {
+impl ConfigSnapshot {
     /// Returns the empty book of version 0.
     pub fn new() -> Self {
         Self::default()
--- a/reachhead_types/tests/moment.rs
+++ b/reachhead_types/tests/boot_instant.rs
@@ -4,7 +4,7 @@
 
 use std::{fs, thread, time::Duration};
 
-use reachhead_types::moment::Moment;
+use reachhead_types::boot_instant::BootInstant;
 
 /// The system's uptime has the time in which the host was suspended, and so must the clock.
 #[test]
@@ -15,7 +15,7 @@
         Duration::from_secs_f64(seconds)
     };
     let before = uptime();
-    let shown = Moment::now().duration_since(Moment::default());
+    let shown = BootInstant::now().duration_since(BootInstant::default());
     let after = uptime();
     // The file is cut to hundredths of a second.
     let slack = Duration::from_millis(10);
@@ -24,7 +24,7 @@
 
 #[test]
 fn spans_are_never_negative() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     thread::sleep(Duration::from_millis(2));
     assert!(now.elapsed() >= Duration::from_millis(2));
     assert_eq!(now.left(), Duration::ZERO);
--- a/reachhead_types/tests/book.rs
+++ b/reachhead_types/tests/snapshot.rs
@@ -6,9 +6,9 @@
 
 use reachhead_property::properties;
 use reachhead_types::{
-    book::{Book, Change, Delta},
     fleet::RowKey,
     size::Version,
+    snapshot::{Change, ConfigSnapshot, Delta},
 };
 use serde_json::{Value, json};
 
@@ -38,8 +38,8 @@
     rows
 }
 
-fn rows(book: &Book) -> BTreeMap<RowKey, Value> {
-    book.rows().map(|(key, value)| (key.clone(), value.clone())).collect()
+fn rows(snapshot: &ConfigSnapshot) -> BTreeMap<RowKey, Value> {
+    snapshot.rows().map(|(key, value)| (key.clone(), value.clone())).collect()
 }
 
 properties! {
@@ -48,27 +48,27 @@
         order: Vec<(u8, u8)>
     ) -> bool {
         let history = history(&changes);
-        let books: Vec<Book> = (0..=history.len())
+        let snapshots: Vec<ConfigSnapshot> = (0..=history.len())
             .map(|version| {
-                let mut book = Book::new();
+                let mut snapshot = ConfigSnapshot::new();
                 for delta in &history[..version] {
-                    book.apply(delta).unwrap();
+                    snapshot.apply(delta).unwrap();
                 }
-                book
+                snapshot
             })
             .collect();
-        let mut book = Book::new();
+        let mut snapshot = ConfigSnapshot::new();
         order.into_iter().all(|(from, to)| {
             // A delta as any process may hand it on: between any two versions, early, late, twice.
-            let to = usize::from(to) % books.len();
+            let to = usize::from(to) % snapshots.len();
             let from = usize::from(from) % (to + 1);
-            let delta = books[to].since(Version(from as u64));
-            let before = book.version();
-            let applied = book.apply(&delta);
-            let version = book.version().0 as usize;
+            let delta = snapshots[to].since(Version(from as u64));
+            let before = snapshot.version();
+            let applied = snapshot.apply(&delta);
+            let version = snapshot.version().0 as usize;
             (applied.is_ok() == (delta.from <= before || delta.to <= before))
-                && book.version() == if applied == Ok(true) { delta.to } else { before }
-                && rows(&book) == naive(&history, version)
+                && snapshot.version() == if applied == Ok(true) { delta.to } else { before }
+                && rows(&snapshot) == naive(&history, version)
         })
     }
 }
@@ -76,14 +76,14 @@
 #[test]
 fn a_whole_configuration_takes_the_place_of_everything() {
     let history = history(&[(1, Some(1)), (2, Some(2)), (1, None)]);
-    let mut newest = Book::new();
+    let mut newest = ConfigSnapshot::new();
     for delta in &history {
         newest.apply(delta).unwrap();
     }
-    let mut book = Book::new();
-    book.apply(&history[0]).unwrap();
-    assert!(book.apply(&newest.since(Version(0))).unwrap());
-    assert_eq!(rows(&book), rows(&newest));
-    assert_eq!(book.row_version(&key(1)), Version(0));
-    assert_eq!(book.row_version(&key(2)), Version(2));
+    let mut snapshot = ConfigSnapshot::new();
+    snapshot.apply(&history[0]).unwrap();
+    assert!(snapshot.apply(&newest.since(Version(0))).unwrap());
+    assert_eq!(rows(&snapshot), rows(&newest));
+    assert_eq!(snapshot.row_version(&key(1)), Version(0));
+    assert_eq!(snapshot.row_version(&key(2)), Version(2));
 }
