--- a/reachhead_admin/src/api/change.rs
+++ b/reachhead_admin/src/api/change.rs
@@ -8,7 +8,7 @@
     event::{Event, emit},
     http::{self, WholeResponse},
 };
-use reachhead_store::config::{ChangeError, ChangeRequest, Changer, history};
+use reachhead_store::config::{ChangeError, ChangeRequest, ConfigWriter, history};
 use reachhead_types::{
     id::ChangeId,
     size::{Millis, Version},
@@ -87,8 +87,8 @@
         mut snapshot: MutexGuard<'_, ConfigSnapshot>,
     ) -> WholeResponse {
         let Caller { operator, scope } = caller;
-        let changer = Changer::new(&*self.store, operator.clone(), now()).with_scope(scope);
-        match changer.change(&mut snapshot, request).await {
+        let writer = ConfigWriter::new(&*self.store, operator.clone(), now()).with_scope(scope);
+        match writer.change(&mut snapshot, request).await {
             Ok(version) => {
                 self.metrics.change("accepted");
                 let id = request.id;
--- a/reachhead_control/src/follow.rs
+++ b/reachhead_control/src/follow.rs
@@ -16,7 +16,7 @@
 };
 use reachhead_store::{
     HostLister, Store, StoreError,
-    config::{self, News},
+    config::{self, ConfigUpdate},
     keys,
     row::{Commit, Row, Scan, Txn},
 };
@@ -127,11 +127,11 @@
         let fetched = config::fetch(&*self.store, self.view.version()).await;
         self.note(match fetched {
             Ok(None) => Ok(()),
-            Ok(Some(News::Whole(snapshot))) => {
+            Ok(Some(ConfigUpdate::Whole(snapshot))) => {
                 self.view.adopt(snapshot);
                 Ok(())
             }
-            Ok(Some(News::Delta(delta))) => {
+            Ok(Some(ConfigUpdate::Delta(delta))) => {
                 // A gap means that the log was cut meanwhile; the next round reads everything.
                 let _ = self.view.apply(&delta);
                 Ok(())
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -143,7 +143,7 @@
         store: Arc::new(
             GuardedStore::new(table(STORE_TIME), STORE_CALLS)
                 .with_parts(part_of)
-                .with_patience()
+                .with_adaptive_timeouts()
                 .with_longest_pause(PROBE_PAUSE),
         ),
         feed: Arc::new(table(FEED_TIME)),
--- a/reachhead_store/src/patience.rs
+++ b/reachhead_store/src/adaptive_timeout.rs
@@ -31,14 +31,14 @@
 
 /// How long answers are waited for, apart for each kind of call.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Patiences {
-    short: Patience,
-    scan: Patience,
+pub struct AdaptiveTimeouts {
+    short: AdaptiveTimeout,
+    scan: AdaptiveTimeout,
 }
 
-impl Patiences {
+impl AdaptiveTimeouts {
     /// Returns the patience with calls of this kind.
-    pub fn of(&mut self, kind: CallKind) -> &mut Patience {
+    pub fn of(&mut self, kind: CallKind) -> &mut AdaptiveTimeout {
         match kind {
             CallKind::Short => &mut self.short,
             CallKind::Scan => &mut self.scan,
@@ -48,13 +48,13 @@
 
 /// How long answers are waited for, by how long they took lately.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Patience {
+pub struct AdaptiveTimeout {
     usual: Duration,
     /// Doublings since an answer last came in time.
     doubled: u32,
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// Returns how long the next answer is waited for.
     pub fn limit(self) -> Duration {
         let limit = (self.usual * USUAL_FACTOR).max(LEAST);
--- a/reachhead_store/src/config/change.rs
+++ b/reachhead_store/src/config/change.rs
@@ -35,7 +35,7 @@
 const LAST_PAUSE: u64 = 500;
 
 /// Makes the changes of one operator's request, all or none, and returns their version.
-pub struct Changer<'s> {
+pub struct ConfigWriter<'s> {
     store: &'s dyn Store,
     operator: OperatorName,
     scope: Scope,
@@ -49,8 +49,8 @@
     next: ConfigSnapshot,
 }
 
-impl<'s> Changer<'s> {
-    /// Returns a changer on behalf of `operator`; `at` is the wall clock, for people to read.
+impl<'s> ConfigWriter<'s> {
+    /// Returns a writer on behalf of `operator`; `at` is the wall clock, for people to read.
     pub fn new(store: &'s dyn Store, operator: OperatorName, at: Millis) -> Self {
         Self { store, operator, scope: Scope::Tree, at }
     }
--- a/reachhead_store/src/config/follow.rs
+++ b/reachhead_store/src/config/follow.rs
@@ -22,7 +22,7 @@
 
 /// What a follower lacks.
 #[derive(Debug)]
-pub enum News {
+pub enum ConfigUpdate {
     /// The changes after its version.
     Delta(Delta),
     /// Everything, since the log does not reach back so far.
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// Any [`StoreError`].
-pub async fn fetch(store: &dyn Store, have: Version) -> Result<Option<News>, StoreError> {
+pub async fn fetch(store: &dyn Store, have: Version) -> Result<Option<ConfigUpdate>, StoreError> {
     let head = read_head(store).await?.row;
     if head.version <= have {
         return Ok(None);
@@ -44,9 +44,11 @@
         false => None,
     };
     match delta {
-        Some(delta) if delta.to >= head.version => Ok(Some(News::Delta(delta))),
+        Some(delta) if delta.to >= head.version => Ok(Some(ConfigUpdate::Delta(delta))),
         // The log does not reach from here to there.
-        _ => read_whole(store, head.version).await.map(|snapshot| Some(News::Whole(snapshot))),
+        _ => read_whole(store, head.version)
+            .await
+            .map(|snapshot| Some(ConfigUpdate::Whole(snapshot))),
     }
 }
 
@@ -58,8 +60,8 @@
 pub async fn follow(store: &dyn Store, snapshot: &mut ConfigSnapshot) -> Result<bool, StoreError> {
     match fetch(store, snapshot.version()).await? {
         None => Ok(false),
-        Some(News::Delta(delta)) => snapshot.apply(&delta).map_err(|gap| gap_error(&gap)),
-        Some(News::Whole(whole)) => {
+        Some(ConfigUpdate::Delta(delta)) => snapshot.apply(&delta).map_err(|gap| gap_error(&gap)),
+        Some(ConfigUpdate::Whole(whole)) => {
             *snapshot = whole;
             Ok(true)
         }
--- a/reachhead_store/src/config/mod.rs
+++ b/reachhead_store/src/config/mod.rs
@@ -7,8 +7,8 @@
 mod follow;
 pub mod history;
 
-pub use change::Changer;
-pub use follow::{News, fetch, follow};
+pub use change::ConfigWriter;
+pub use follow::{ConfigUpdate, fetch, follow};
 
 use reachhead_types::{
     fleet::{RowFault, RowKey},
--- a/reachhead_store/src/guarded.rs
+++ b/reachhead_store/src/guarded.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     Store, StoreError,
+    adaptive_timeout::{AdaptiveTimeout, AdaptiveTimeouts, CallKind},
     breaker::{Breaker, Gate, LAST_PAUSE},
-    patience::{CallKind, Patience, Patiences},
     row::{Commit, Key, Page, Row, Scan, Txn},
 };
 
@@ -30,7 +30,7 @@
 /// part, which notices failures. A part has few calls at once: one of them without an answer does not tell that it stalls.
 struct Gates {
     whole: Breaker,
-    patience: Option<Patiences>,
+    adaptive_timeouts: Option<AdaptiveTimeouts>,
     longest: Duration,
     parts: BTreeMap<String, Breaker>,
 }
@@ -44,8 +44,8 @@
         self.parts.get_mut(part).unwrap_or_else(|| unreachable!("it was just put there"))
     }
 
-    fn patience(&mut self, kind: CallKind) -> Option<&mut Patience> {
-        self.patience.as_mut().map(|patiences| patiences.of(kind))
+    fn adaptive_timeout(&mut self, kind: CallKind) -> Option<&mut AdaptiveTimeout> {
+        self.adaptive_timeouts.as_mut().map(|adaptive_timeouts| adaptive_timeouts.of(kind))
     }
 
     fn gate(&mut self, part: &str, now: Instant) -> Gate {
@@ -69,7 +69,7 @@
     pub fn new(inner: S, rate: u32) -> Self {
         let gates = Gates {
             whole: Breaker::new(rate, now()),
-            patience: None,
+            adaptive_timeouts: None,
             longest: LAST_PAUSE,
             parts: BTreeMap::new(),
         };
@@ -85,8 +85,8 @@
 
     /// Gives calls up whose answers take much longer than usual: callers that may ask again are told sooner.
     #[must_use]
-    pub fn with_patience(self) -> Self {
-        locked(&self.gates).patience = Some(Patiences::default());
+    pub fn with_adaptive_timeouts(self) -> Self {
+        locked(&self.gates).adaptive_timeouts = Some(AdaptiveTimeouts::default());
         self
     }
 
@@ -120,16 +120,21 @@
             Gate::Down => return Err(StoreError::NotDone("the store is down".to_owned())),
         }
         let open = Open::new(Arc::clone(&self.gates), part, kind);
-        let (probing, patience) = {
+        let (probing, adaptive_timeout) = {
             let mut gates = locked(&self.gates);
             let probing = gates.part(part).is_probing() || gates.whole.is_probing();
-            (probing, gates.patience(kind).map_or(Duration::MAX, |patience| patience.limit()))
+            (
+                probing,
+                gates
+                    .adaptive_timeout(kind)
+                    .map_or(Duration::MAX, |adaptive_timeout| adaptive_timeout.limit()),
+            )
         };
         let call = call(Arc::clone(&self.inner));
         let noted = async move {
-            let Ok(result) = time::timeout(patience, call).await else {
-                if let Some(patience) = locked(&open.gates).patience(kind) {
-                    patience.lengthen();
+            let Ok(result) = time::timeout(adaptive_timeout, call).await else {
+                if let Some(adaptive_timeout) = locked(&open.gates).adaptive_timeout(kind) {
+                    adaptive_timeout.lengthen();
                 }
                 return Err(StoreError::Lost("no answer in the usual time".to_owned()));
             };
@@ -167,8 +172,8 @@
         if matches!(result, Ok(_) | Err(StoreError::Refused(_) | StoreError::Busy(_))) {
             gates.whole.succeed(now);
             let took = now.saturating_duration_since(self.begun);
-            if let Some(patience) = gates.patience(self.kind) {
-                patience.learn(took);
+            if let Some(adaptive_timeout) = gates.adaptive_timeout(self.kind) {
+                adaptive_timeout.learn(took);
             }
         }
         let breaker = gates.part(&self.part);
--- a/reachhead_store/src/lib.rs
+++ b/reachhead_store/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! docs/STORE.md gives the protocol and every key that the system keeps.
 
+pub mod adaptive_timeout;
 pub mod breaker;
 pub mod claim;
 pub mod config;
@@ -10,7 +11,6 @@
 pub mod http;
 pub mod keys;
 pub mod memory;
-pub mod patience;
 pub mod platform;
 pub mod row;
 pub mod waves;
--- a/reachhead_store/tests/config.rs
+++ b/reachhead_store/tests/config.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use reachhead_store::{
     Store, StoreError,
-    config::{self, ChangeError, ChangeRequest, Changer, ConfigWrite},
+    config::{self, ChangeError, ChangeRequest, ConfigWrite, ConfigWriter},
     memory::MemoryStore,
     row::{Commit, Key, Page, Row, Scan, Txn},
 };
@@ -81,8 +81,8 @@
     ChangeRequest { id: ChangeId(id), writes: vec![write] }
 }
 
-fn changer(store: &dyn Store) -> Changer<'_> {
-    Changer::new(store, "tester".parse().unwrap(), Millis(0))
+fn config_writer(store: &dyn Store) -> ConfigWriter<'_> {
+    ConfigWriter::new(store, "tester".parse().unwrap(), Millis(0))
 }
 
 /// Several operators make changes one after the other, repeating each until it is settled.
@@ -98,7 +98,7 @@
                 let row = format!("group/o{}", (operator + number) % 3);
                 let request = request(id, &row, id as u32 + 1, None);
                 loop {
-                    match changer(&*store).change(&mut snapshot, &request).await {
+                    match config_writer(&*store).change(&mut snapshot, &request).await {
                         Ok(version) => {
                             accepted.push((id, version));
                             break;
@@ -146,18 +146,22 @@
     let store = MemoryStore::new();
     let mut snapshot = ConfigSnapshot::new();
     let first =
-        changer(&store).change(&mut snapshot, &request(1, "group/a", 1, None)).await.unwrap();
-    let second =
-        changer(&store).change(&mut snapshot, &request(2, "group/b", 2, Some(Version(0)))).await;
+        config_writer(&store).change(&mut snapshot, &request(1, "group/a", 1, None)).await.unwrap();
+    let second = config_writer(&store)
+        .change(&mut snapshot, &request(2, "group/b", 2, Some(Version(0))))
+        .await;
     assert_eq!(second.unwrap(), Version(2));
     // Someone else changed group b meanwhile; group a is still as it was seen.
-    let stale = changer(&store).change(&mut snapshot, &request(3, "group/b", 3, Some(first))).await;
+    let stale =
+        config_writer(&store).change(&mut snapshot, &request(3, "group/b", 3, Some(first))).await;
     let key: RowKey = "group/b".parse().unwrap();
     assert!(matches!(stale, Err(ChangeError::Raced(rows)) if rows == [key]));
-    let fine = changer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
+    let fine =
+        config_writer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
     assert_eq!(fine.unwrap(), Version(3));
     // The same change again is the same version and changes nothing more.
-    let again = changer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
+    let again =
+        config_writer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
     assert_eq!(again.unwrap(), Version(3));
     assert_eq!(snapshot.version(), Version(3));
 }
@@ -170,7 +174,7 @@
     for number in 0..200_u128 {
         let row = format!("group/g{}", number % 70);
         let request = request(number, &row, number as u32 + 1, None);
-        changer(&store).change(&mut writer, &request).await.unwrap();
+        config_writer(&store).change(&mut writer, &request).await.unwrap();
         if number % 7 == 0 {
             config::follow(&store, &mut near).await.unwrap();
         }
--- a/reachhead_store/tests/guarded.rs
+++ b/reachhead_store/tests/guarded.rs
@@ -135,7 +135,7 @@
 #[tokio::test(start_paused = true)]
 async fn reads_of_whole_parts_are_waited_for_though_other_calls_are_quick() {
     let slow = FailingStore { scan_time: Duration::from_millis(1000), ..FailingStore::default() };
-    let store = GuardedStore::new(slow, 1000).with_patience();
+    let store = GuardedStore::new(slow, 1000).with_adaptive_timeouts();
     let scan = || Scan { prefix: "job/p.0/".to_owned(), after: None, limit: u32::MAX };
     let mut tries = 0;
     for _ in 0..20 {
--- a/reachhead_store/tests/history.rs
+++ b/reachhead_store/tests/history.rs
@@ -8,7 +8,7 @@
 use quickcheck::TestResult;
 use reachhead_property::properties;
 use reachhead_store::{
-    config::{self, ChangeError, ChangeRequest, Changer, ConfigWrite, history},
+    config::{self, ChangeError, ChangeRequest, ConfigWrite, ConfigWriter, history},
     memory::MemoryStore,
 };
 use reachhead_types::{
@@ -44,8 +44,8 @@
     }
 
     fn change(&mut self, request: &ChangeRequest) -> Result<Version, ChangeError> {
-        let changer = Changer::new(&self.store, "tester".parse().unwrap(), Millis(0));
-        let version = block_on(changer.change(&mut self.snapshot, request))?;
+        let writer = ConfigWriter::new(&self.store, "tester".parse().unwrap(), Millis(0));
+        let version = block_on(writer.change(&mut self.snapshot, request))?;
         self.copies.push(rows(&self.snapshot));
         self.written.push(request.writes.iter().map(|write| write.key.clone()).collect());
         Ok(version)
--- a/reachhead_store/tests/scope.rs
+++ b/reachhead_store/tests/scope.rs
@@ -7,7 +7,7 @@
 use futures::executor::block_on;
 use reachhead_property::properties;
 use reachhead_store::{
-    config::{ChangeError, ChangeRequest, Changer, ConfigWrite},
+    config::{ChangeError, ChangeRequest, ConfigWrite, ConfigWriter},
     memory::MemoryStore,
 };
 use reachhead_types::{id::ChangeId, scope::Scope, size::Millis, snapshot::ConfigSnapshot};
@@ -127,7 +127,7 @@
         let store = MemoryStore::new();
         let mut snapshot = ConfigSnapshot::new();
         let first = first_rows().into_iter().map(|(key, value)| (key, Some(value))).collect();
-        let root = Changer::new(&store, "root".parse().unwrap(), Millis(0));
+        let root = ConfigWriter::new(&store, "root".parse().unwrap(), Millis(0));
         block_on(root.change(&mut snapshot, &request(0, first))).unwrap();
         for (index, (kind, name, other)) in drawn.into_iter().enumerate() {
             let before = rows(&snapshot);
@@ -137,7 +137,7 @@
                 Some(value) => naive.insert(key.clone(), value),
                 None => naive.remove(&key),
             };
-            let red = Changer::new(&store, "o-red".parse().unwrap(), Millis(0))
+            let red = ConfigWriter::new(&store, "o-red".parse().unwrap(), Millis(0))
                 .with_scope(Scope::Group("red".parse().unwrap()));
             let result = block_on(red.change(&mut snapshot, &request(index + 1, vec![(key.clone(), value)])));
             let after = rows(&snapshot);
