--- a/reachhead_admin/src/status.rs
+++ b/reachhead_admin/src/status.rs
@@ -3,7 +3,7 @@
 use std::{io, net::SocketAddr, thread, time::Duration};
 
 use reachhead_link::{
-    client::Asker,
+    client::LinkClient,
     message::{ControlReply, ControlRequest},
 };
 use reachhead_store::{Store, StoreError, keys, row::Scan};
@@ -61,9 +61,9 @@
     pub fn start() -> io::Result<Self> {
         let (jobs, mut ring) = mpsc::channel::<Job>(RING_SIZE);
         thread::Builder::new().name("asks".to_owned()).spawn(move || {
-            let mut asker = Asker::new(ASK_TIME);
+            let mut client = LinkClient::new(ASK_TIME);
             while let Some(Job { address, reply }) = ring.blocking_recv() {
-                let _ = reply.send(asker.ask(address, &ControlRequest::Status).ok());
+                let _ = reply.send(client.ask(address, &ControlRequest::Status).ok());
             }
         })?;
         Ok(Self { jobs })
--- a/reachhead_control/src/gossip.rs
+++ b/reachhead_control/src/gossip.rs
@@ -5,7 +5,7 @@
 use log::debug;
 use rand::seq::IndexedRandom;
 use reachhead_link::{
-    client::Asker,
+    client::LinkClient,
     message::{ControlReply, ControlRequest, GossipReply},
 };
 use reachhead_types::{boot_instant::BootInstant, size::Millis};
@@ -28,7 +28,7 @@
 /// Speaks with peers, on a thread of its own.
 pub struct Gossiper {
     view: Arc<View>,
-    asker: Asker<ControlRequest, ControlReply>,
+    client: LinkClient<ControlRequest, ControlReply>,
     seeds: Vec<SocketAddr>,
     period: Duration,
     /// When peers last left a question without an answer.
@@ -38,7 +38,7 @@
 impl Gossiper {
     /// Returns a gossiper with a round each `period`; `seeds` serve until peers are known.
     pub fn new(view: Arc<View>, seeds: Vec<SocketAddr>, period: Duration) -> Self {
-        Self { view, asker: Asker::new(ASK_TIME), seeds, period, silent: BTreeMap::new() }
+        Self { view, client: LinkClient::new(ASK_TIME), seeds, period, silent: BTreeMap::new() }
     }
 
     /// Speaks with peers for as long as the process lives.
@@ -65,7 +65,7 @@
                 hosts: self.view.hosts_revision(),
             };
             let asked = BootInstant::now();
-            match self.asker.ask(peer, &request) {
+            match self.client.ask(peer, &request) {
                 Ok(ControlReply::Gossip(reply)) => {
                     self.silent.remove(&peer);
                     self.learn(peer, *reply, asked);
--- a/reachhead_entry/src/process/asks.rs
+++ b/reachhead_entry/src/process/asks.rs
@@ -5,7 +5,7 @@
 use log::debug;
 use reachhead_config::entry::EntrySettings;
 use reachhead_link::{
-    client::Asker,
+    client::LinkClient,
     message::{EntryReply, EntryRequest},
 };
 use tokio::sync::{mpsc, oneshot};
@@ -46,12 +46,12 @@
 }
 
 fn run(mut ring: mpsc::Receiver<Job>, timeout: Duration) {
-    let mut asker = Asker::new(timeout);
+    let mut client = LinkClient::new(timeout);
     while let Some(Job { address, question, reply }) = ring.blocking_recv() {
         if reply.is_closed() {
             continue;
         }
-        let answer = asker.ask(address, &question);
+        let answer = client.ask(address, &question);
         if let Err(error) = &answer {
             debug!("asking {address}: {error}");
         }
--- a/reachhead_entry/src/process/follow.rs
+++ b/reachhead_entry/src/process/follow.rs
@@ -4,7 +4,7 @@
 
 use reachhead_config::entry::EntrySettings;
 use reachhead_link::{
-    client::Asker,
+    client::LinkClient,
     message::{ControlReply, ControlRequest, FollowReply},
 };
 use reachhead_ops::event::{Event, emit};
@@ -52,7 +52,7 @@
 }
 
 struct Follower {
-    asker: Asker<ControlRequest, ControlReply>,
+    client: LinkClient<ControlRequest, ControlReply>,
     control: SocketAddr,
     snapshot: ConfigSnapshot,
     fleet: Arc<Fleet>,
@@ -70,7 +70,7 @@
     let (updates, ring) = mpsc::channel(RING_SIZE);
     let period = Duration::from_millis(settings.link.period.get());
     let follower = Follower {
-        asker: Asker::new(ASK_TIME),
+        client: LinkClient::new(ASK_TIME),
         control: settings.link.control,
         snapshot: ConfigSnapshot::new(),
         fleet: Arc::default(),
@@ -101,7 +101,7 @@
         let asked = BootInstant::now();
         let question =
             ControlRequest::Follow { have: self.snapshot.version(), hosts: self.hosts_revision };
-        let reply = match self.asker.ask(self.control, &question) {
+        let reply = match self.client.ask(self.control, &question) {
             Ok(ControlReply::Follow(reply)) => Some(reply),
             _ => None,
         };
--- a/reachhead_link/src/client.rs
+++ b/reachhead_link/src/client.rs
@@ -16,7 +16,7 @@
 
 /// Why a question has no answer.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum LinkClientError {
     /// `nng` said no, or the time is over.
     #[error("no answer: {0}")]
     Nng(#[from] nng::Error),
@@ -26,14 +26,14 @@
 }
 
 /// Asks peers, one question at a time; it blocks, so it belongs on a thread of its own.
-pub struct Asker<Q, A> {
+pub struct LinkClient<Q, A> {
     sockets: HashMap<SocketAddr, Socket>,
     timeout: Duration,
     types: PhantomData<fn(Q) -> A>,
 }
 
-impl<Q: Serialize, A: DeserializeOwned> Asker<Q, A> {
-    /// Returns an asker that waits `timeout` for each answer.
+impl<Q: Serialize, A: DeserializeOwned> LinkClient<Q, A> {
+    /// Returns a client that waits `timeout` for each answer.
     pub fn new(timeout: Duration) -> Self {
         Self { sockets: HashMap::new(), timeout, types: PhantomData }
     }
@@ -43,7 +43,7 @@
     /// # Errors
     ///
     /// Fails if there is no readable answer in time; whether the question arrived is then unknown.
-    pub fn ask(&mut self, address: SocketAddr, question: &Q) -> Result<A, AskError> {
+    pub fn ask(&mut self, address: SocketAddr, question: &Q) -> Result<A, LinkClientError> {
         let result = self.exchange(address, question);
         if result.is_err() {
             // A fresh socket forgets the question; the old one would repeat it for ever.
@@ -52,7 +52,7 @@
         result
     }
 
-    fn exchange(&mut self, address: SocketAddr, question: &Q) -> Result<A, AskError> {
+    fn exchange(&mut self, address: SocketAddr, question: &Q) -> Result<A, LinkClientError> {
         let body = serde_json::to_vec(question)?;
         let socket = self.socket(address)?;
         socket.send(Message::from(body.as_slice())).map_err(|(_, error)| error)?;
