--- a/reachhead_control/src/pools.rs
+++ b/reachhead_control/src/pools.rs
@@ -11,7 +11,7 @@
 };
 use reachhead_pool::{
     budget::Loads,
-    controller::{Controller, PoolEvent, Terms},
+    controller::{Controller, ControllerLimits, PoolEvent},
 };
 use reachhead_store::{Store, platform::Platform};
 use reachhead_types::size::Version;
@@ -44,13 +44,13 @@
         platform: Arc<dyn Platform>,
         settings: &PoolSettings,
     ) -> Self {
-        let terms = Terms {
+        let limits = ControllerLimits {
             drain: settings.drain.duration(),
             hand_over: settings.hand_over.duration(),
             confirm: settings.confirm.duration(),
             batch: settings.batch.get() as usize,
         };
-        let controller = Controller::new(store, platform, terms);
+        let controller = Controller::new(store, platform, limits);
         let round = Duration::from_millis(settings.round.get());
         Self { view, controller, round, version: Version(0), loads: Arc::default() }
     }
--- a/reachhead_pool/src/controller/leases.rs
+++ b/reachhead_pool/src/controller/leases.rs
@@ -57,7 +57,7 @@
     /// Tells whether another host has had for too long what should be this host's.
     fn is_overdue(&mut self, pool: &PoolName) -> bool {
         let since = self.awaited.entry(pool.clone()).or_insert_with(BootInstant::now);
-        since.elapsed() >= self.terms.hand_over
+        since.elapsed() >= self.limits.hand_over
     }
 
     fn note_ended(&mut self, pool: &PoolName) {
--- a/reachhead_pool/src/controller/mod.rs
+++ b/reachhead_pool/src/controller/mod.rs
@@ -101,7 +101,7 @@
 
 /// How long things take.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct ControllerLimits {
     /// How long a host must be seen drained before it counts as empty.
     pub drain: Duration,
     /// How long an owner that is there may take to hand a pool over.
@@ -116,7 +116,7 @@
 pub struct Controller {
     store: Arc<dyn Store>,
     platform: Arc<dyn Platform>,
-    terms: Terms,
+    limits: ControllerLimits,
     held: BTreeMap<PoolName, Held>,
     /// Since when pools that should be this host's have been others'.
     awaited: BTreeMap<PoolName, BootInstant>,
@@ -125,11 +125,15 @@
 
 impl Controller {
     /// Returns a controller that is in charge of nothing yet.
-    pub fn new(store: Arc<dyn Store>, platform: Arc<dyn Platform>, terms: Terms) -> Self {
+    pub fn new(
+        store: Arc<dyn Store>,
+        platform: Arc<dyn Platform>,
+        limits: ControllerLimits,
+    ) -> Self {
         Self {
             store,
             platform,
-            terms,
+            limits,
             held: BTreeMap::new(),
             awaited: BTreeMap::new(),
             events: Vec::new(),
--- a/reachhead_pool/src/controller/steps.rs
+++ b/reachhead_pool/src/controller/steps.rs
@@ -126,9 +126,9 @@
             return Ok(());
         };
         let is_overspent = round.is_overspent(&tracked.host.row);
-        let seen = tracked.observe(status, is_overspent, self.terms.confirm);
+        let seen = tracked.observe(status, is_overspent, self.limits.confirm);
         let host = tracked.host.clone();
-        match host::step(&host.row, round.wave, &seen, self.terms.drain) {
+        match host::step(&host.row, round.wave, &seen, self.limits.drain) {
             HostStep::Wait | HostStep::Begin(_) => {}
             HostStep::Drain => {
                 self.platform.drain(id.clone(), DrainTag::new(host.revision)).await?;
@@ -186,7 +186,7 @@
                 }
                 _ => continue,
             };
-            if wave.is_some() && held.wave_count() >= self.terms.batch {
+            if wave.is_some() && held.wave_count() >= self.limits.batch {
                 continue;
             }
             if round.loads.hold(&id, &round.cache.budgets(), &round.gone).is_none()
--- a/reachhead_pool/tests/moves/site.rs
+++ b/reachhead_pool/tests/moves/site.rs
@@ -4,7 +4,7 @@
 
 use futures::{executor::block_on, future};
 use reachhead_pool::{
-    controller::{Controller, RoundInput, Terms},
+    controller::{Controller, ControllerLimits, RoundInput},
     host,
     lease::Candidate,
 };
@@ -77,13 +77,13 @@
         let id = MemberId { host: format!("e{number}").parse().unwrap(), incarnation };
         let store: Arc<dyn Store> = Arc::<World>::clone(&self.world);
         let platform: Arc<dyn Platform> = Arc::<World>::clone(&self.world);
-        let terms = Terms {
+        let limits = ControllerLimits {
             drain: Duration::ZERO,
             hand_over: Duration::ZERO,
             confirm: Duration::ZERO,
             batch: 3,
         };
-        let controller = Controller::new(store, platform, terms);
+        let controller = Controller::new(store, platform, limits);
         Host { id, controller, input: RoundInput::default() }
     }
 
