--- a/reachhead_control/src/main.rs
+++ b/reachhead_control/src/main.rs
@@ -8,7 +8,7 @@
 mod metrics;
 mod pools;
 mod process;
-mod terms;
+mod timeouts;
 mod view;
 
 use std::process::ExitCode;
--- a/reachhead_control/src/process.rs
+++ b/reachhead_control/src/process.rs
@@ -25,7 +25,7 @@
 
 use crate::{
     answer::ControlResponder, clean::Cleaner, follow::Follower, gossip::Gossiper, metrics::Metrics,
-    pools::PoolRounds, terms::Terms, view::View,
+    pools::PoolRounds, timeouts::Timeouts, view::View,
 };
 
 struct ControlObserved {
@@ -54,7 +54,7 @@
 /// Runs the control process until a shutdown is asked for.
 pub fn run(settings: ControlSettings) -> Result<(), LinkError> {
     let follow = settings.follow.clone();
-    let view = View::new(settings.host.clone(), Terms::new(&settings));
+    let view = View::new(settings.host.clone(), Timeouts::new(&settings));
 
     let mut registry = Registry::default();
     let metrics = Metrics::new(&mut registry);
--- a/reachhead_control/src/terms.rs
+++ b/reachhead_control/src/timeouts.rs
@@ -11,17 +11,17 @@
 /// Room for a busy host and for the way from the control to the entry process.
 const NOTICE_MARGIN: Duration = Duration::from_millis(1000);
 
-/// Terms of one host; docs/LIMITS.md tells what each protects.
+/// Timeouts of one host; docs/LIMITS.md tells what each protects.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct Timeouts {
     member_step: Duration,
     missed: u32,
     lease_missed: u32,
     store_deadline: Duration,
 }
 
-impl Terms {
-    /// Returns the terms that `settings` make.
+impl Timeouts {
+    /// Returns the timeouts that `settings` make.
     pub fn new(settings: &ControlSettings) -> Self {
         Self {
             member_step: Duration::from_millis(settings.follow.members.get()),
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -23,7 +23,7 @@
 };
 use serde::Serialize;
 
-use crate::{members::MemberBook, terms::Terms};
+use crate::{members::MemberBook, timeouts::Timeouts};
 
 /// What the threads of this process share.
 pub struct View {
@@ -31,7 +31,7 @@
     /// Signalled when a new version is in force, so that gossip does not wait for its round.
     news: Condvar,
     host: HostId,
-    terms: Terms,
+    timeouts: Timeouts,
 }
 
 /// What a peer says of its list.
@@ -88,7 +88,7 @@
 
 impl View {
     /// Returns an empty view of `host`.
-    pub fn new(host: HostId, terms: Terms) -> Arc<Self> {
+    pub fn new(host: HostId, timeouts: Timeouts) -> Arc<Self> {
         let state = State {
             snapshot: ConfigSnapshot::new(),
             members: MemberBook::new(),
@@ -101,7 +101,7 @@
             told: Version(0),
             pools: Vec::new(),
         };
-        Arc::new(Self { state: Mutex::new(state), news: Condvar::new(), host, terms })
+        Arc::new(Self { state: Mutex::new(state), news: Condvar::new(), host, timeouts })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -205,7 +205,7 @@
         if state.members.observe(rows, revision, now) {
             tell_members(&state);
         }
-        let term = self.terms.silence(state.members.members().len());
+        let term = self.timeouts.silence(state.members.members().len());
         state.members.gone(term, now)
     }
 
@@ -256,7 +256,7 @@
 
     /// Returns the longest time in which every entry host notices a new list.
     pub fn notice(&self) -> Duration {
-        self.terms.notice(self.state().members.members().len())
+        self.timeouts.notice(self.state().members.members().len())
     }
 
     /// Takes over a newer list of leaving hosts.
@@ -304,7 +304,8 @@
         let own = self.own_member();
         let state = self.state();
         let list = state.members.members();
-        let silent = state.members.gone(self.terms.lease_silence(list.len()), BootInstant::now());
+        let silent =
+            state.members.gone(self.timeouts.lease_silence(list.len()), BootInstant::now());
         let candidate = |member: &Member| Candidate {
             id: member.id(),
             is_silent: silent.contains(&member.host),
