--- a/reachhead_entry/src/process/minion.rs
+++ b/reachhead_entry/src/process/minion.rs
@@ -10,7 +10,7 @@
 use reachhead_ops::event::{Event, emit};
 use reachhead_path::{
     eject::{Ejection, Step},
-    loan::{LoanBook, Share},
+    loan::{LoanTable, Share},
     pick::Candidate,
 };
 use reachhead_types::{
@@ -42,7 +42,7 @@
     is_local: bool,
     /// Slots of this host's own.
     share: Cell<u32>,
-    loans: RefCell<LoanBook>,
+    loans: RefCell<LoanTable>,
     running: Cell<u32>,
     state: Cell<MinionState>,
     /// Whether its host is leaving by the platform's list.
--- a/reachhead_path/src/loan.rs
+++ b/reachhead_path/src/loan.rs
@@ -22,13 +22,13 @@
 
 /// The loans of one minion's slots that one entry host has given and taken.
 #[derive(Debug, Clone, Default)]
-pub struct LoanBook {
+pub struct LoanTable {
     lent: Vec<Loan>,
     borrowed: Vec<Loan>,
 }
 
-impl LoanBook {
-    /// Returns a book without loans.
+impl LoanTable {
+    /// Returns a table without loans.
     pub fn new() -> Self {
         Self::default()
     }
--- a/reachhead_path/tests/loan.rs
+++ b/reachhead_path/tests/loan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachhead_path::loan::{LOAN_TERM, LoanBook, Share};
+use reachhead_path::loan::{LOAN_TERM, LoanTable, Share};
 use reachhead_property::properties;
 use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 
@@ -10,7 +10,7 @@
 
 /// A host with its share, and the ends of the requests that run for it.
 struct Host {
-    book: LoanBook,
+    table: LoanTable,
     share: u32,
     ends: Vec<BootInstant>,
 }
@@ -21,7 +21,7 @@
     }
 
     fn try_start(&mut self, now: BootInstant, length: Duration) {
-        if self.running(now) < self.book.limit(self.share, now) {
+        if self.running(now) < self.table.limit(self.share, now) {
             self.ends.push(now + length);
         }
     }
@@ -34,7 +34,7 @@
         let start = BootInstant::now();
         let mut hosts: Vec<Host> = [3, 3, 2]
             .into_iter()
-            .map(|share| Host { book: LoanBook::new(), share, ends: Vec::new() })
+            .map(|share| Host { table: LoanTable::new(), share, ends: Vec::new() })
             .collect();
         let mut now = start;
         let mut next = 0;
@@ -53,11 +53,11 @@
                     next += 1;
                     let lender = &mut hosts[other];
                     let share = Share { slots: lender.share, running: lender.running(now) };
-                    let lent = lender.book.lend(LoanId(next), share, 4, GRACE, now);
+                    let lent = lender.table.lend(LoanId(next), share, 4, GRACE, now);
                     // The question was on its way for a while; the answer is noted later.
                     let asked = now - Duration::from_millis(50);
                     let later = now + Duration::from_millis(u64::from(time) % 200);
-                    hosts[host].book.borrow(LoanId(next), lent, asked, later);
+                    hosts[host].table.borrow(LoanId(next), lent, asked, later);
                 }
                 _ => now += LOAN_TERM / 4,
             }
@@ -70,7 +70,7 @@
 #[test]
 fn a_loan_ends_by_the_return_or_by_the_term_and_the_grace() {
     let now = BootInstant::now();
-    let mut lender = LoanBook::new();
+    let mut lender = LoanTable::new();
     let share = Share { slots: 8, running: 2 };
     assert_eq!(lender.lend(LoanId(1), share, 10, GRACE, now), 3);
     assert_eq!(lender.limit(8, now), 5);
@@ -80,7 +80,7 @@
     let end = now + LOAN_TERM + GRACE;
     assert_eq!(lender.limit(8, end - Duration::from_millis(1)), 7);
     assert_eq!(lender.limit(8, end), 8);
-    let mut borrower = LoanBook::new();
+    let mut borrower = LoanTable::new();
     borrower.borrow(LoanId(2), 1, now, now);
     assert_eq!(borrower.limit(2, now), 3);
     assert_eq!(borrower.limit(2, now + LOAN_TERM), 2);
