--- a/reachhead_bench/src/jobs/site.rs
+++ b/reachhead_bench/src/jobs/site.rs
@@ -6,7 +6,7 @@
 use reachhead_jobs::{
     clock::{Tick, WorkerTime},
     model::{Plan, Queue, Step},
-    pool::{Action, Batch, Due, Inheritance, JobState, Lane, Pool, Tuning},
+    pool::{Action, Batch, Due, JobState, Lane, Pool, PoolTimeouts, RecoveredState},
     ports::{EndedEntry, HoldOrder, RunEnd, RunningEntry, StartOrder, WorkerInfo, WorkerReport},
     record::{Ending, JobRecord},
     task::TaskId,
@@ -113,7 +113,7 @@
 impl Site {
     /// Returns a site at the start of its day.
     pub fn new(shape: Shape, seed: u64) -> Self {
-        let tuning = Tuning {
+        let timeouts = PoolTimeouts {
             hold: Millis(4500),
             trust: Millis(4000),
             wait: Millis(1500),
@@ -128,8 +128,8 @@
             pool_name(),
             token,
             0,
-            tuning,
-            Inheritance { verified: START, ..Inheritance::default() },
+            timeouts,
+            RecoveredState { verified: START, ..RecoveredState::default() },
             START,
             Millis(START.0),
         );
--- a/reachhead_jobs/src/authority.rs
+++ b/reachhead_jobs/src/authority.rs
@@ -1,7 +1,7 @@
 //! For how long the holder of a lease may give orders that nobody checks a fencing token of.
 //!
 //! Where the platform refuses lower tokens, an order of a holder that was paused does no harm. Where it does not, two
-//! processes must never order at the same time: the holder orders only for [`ORDER_TERM`] after it asked the store
+//! processes must never order at the same time: the holder orders only for [`ORDER_WINDOW`] after it asked the store
 //! and found its lease in force, and its successor waits for as long after it took the lease.
 
 use reachhead_types::{
@@ -10,13 +10,13 @@
 };
 
 use crate::{
-    clock::{Tick, stretched},
+    clock::{Tick, with_drift},
     record::LeaseRecord,
 };
 
 /// How long the holder may give orders after it asked the store. It takes a question to the store and an order, also
 /// while the store is slow, and it is what the hosts stand still for when their owner is killed.
-pub const ORDER_TERM: Millis = Millis(700);
+pub const ORDER_WINDOW: Millis = Millis(700);
 
 /// How lately the question must have been sent for orders to go out on its answer; the rest of the term is the orders'
 /// own. A slow store answers within it.
@@ -28,7 +28,7 @@
 
 /// What an order is given on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mandate {
+pub struct OrderPermit {
     /// The holder's fencing token.
     pub token: FencingToken,
     /// No byte of the order leaves the process after this; `None` where tokens are checked.
@@ -37,12 +37,12 @@
 
 /// The store's last word that the lease is in force.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Confirmation {
+pub struct LeaseConfirmation {
     /// When the question was sent: the lease may have been taken right after the store answered it.
     asked: Option<BootInstant>,
 }
 
-impl Confirmation {
+impl LeaseConfirmation {
     /// Notes the store's answer to a question that was sent at `asked`; tells whether the lease is in force.
     pub fn note(
         &mut self,
@@ -59,13 +59,13 @@
     pub fn until(&self, now: BootInstant) -> Option<BootInstant> {
         let asked = self.asked?;
         let fresh = now.duration_since(asked) <= FRESH_TERM.duration();
-        fresh.then(|| asked + ORDER_TERM.duration())
+        fresh.then(|| asked + ORDER_WINDOW.duration())
     }
 }
 
 /// What a successor knows of the holder before it.
 #[derive(Debug, Clone, Copy)]
-pub struct Predecessor<'a> {
+pub struct PreviousHolder<'a> {
     /// The lease as it was.
     pub record: &'a LeaseRecord,
     /// When this process first saw it so.
@@ -78,9 +78,9 @@
     pub denied: Option<Tick>,
 }
 
-impl Predecessor<'_> {
+impl PreviousHolder<'_> {
     /// Returns how long after its lease is stored the successor gives no order, where tokens are checked or not.
-    pub fn quiet_time(&self, now: Tick, duty: Millis, checked: bool) -> Millis {
+    pub fn takeover_wait(&self, now: Tick, duty: Millis, checked: bool) -> Millis {
         let overlap = if checked { Millis(0) } else { self.overlap_time() };
         self.turn_time(now, duty).max(overlap)
     }
@@ -103,6 +103,6 @@
         if self.record.owner.is_none() || self.own || ended {
             return Millis(0);
         }
-        stretched(ORDER_TERM)
+        with_drift(ORDER_WINDOW)
     }
 }
--- a/reachhead_jobs/src/balance/mod.rs
+++ b/reachhead_jobs/src/balance/mod.rs
@@ -13,12 +13,12 @@
 };
 
 use self::parking::Parking;
-pub use self::parking::{ClockReading, PoolUse, UseRecord, round_trip};
+pub use self::parking::{ClockPair, PoolUsage, UsageRecord, restart_cost};
 use crate::{
     clock::Tick,
     division::{Claim, divide},
     pool::{PoolLoad, WorkerLoad},
-    ports::{Machine, MachineState},
+    ports::{PlatformHost, PlatformHostState},
 };
 
 /// Room beyond the need, in percent: sizes of jobs vary, and tasks don't fill a host exactly.
@@ -58,7 +58,7 @@
 
 /// What a pool has and needs, as a round found it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Room {
+pub struct HostDemand {
     /// The pool.
     pub pool: PoolName,
     /// Hosts that it has or that are on their way to it.
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Balance {
     /// What the last round found.
-    rooms: Vec<Room>,
+    demands: Vec<HostDemand>,
     /// When a host was last seen to be somewhere new.
     arrived: BTreeMap<HostId, Tick>,
     place: BTreeMap<HostId, PoolName>,
@@ -107,8 +107,8 @@
 }
 
 impl Account {
-    fn room(&self) -> Room {
-        Room {
+    fn demand(&self) -> HostDemand {
+        HostDemand {
             pool: self.pool.clone(),
             have: self.have,
             claim: self.claim.whole,
@@ -129,7 +129,7 @@
     /// hosts that something else is done with.
     pub fn next(
         &mut self,
-        machines: &BTreeMap<HostId, Machine>,
+        machines: &BTreeMap<HostId, PlatformHost>,
         pools: &BTreeMap<PoolName, PoolState>,
         drained: &BTreeSet<ZoneName>,
         rate: f64,
@@ -153,32 +153,32 @@
             None => Vec::new(),
         };
         share_out(&mut accounts, off.len());
-        self.rooms = accounts.iter().map(Account::room).collect();
+        self.demands = accounts.iter().map(Account::demand).collect();
         let mut moves = Vec::new();
         self.fill(&mut accounts, &mut off, &mut moves);
         if let Some(spare) = spare {
-            let trip = round_trip(machines.len(), rate);
-            moves.extend(self.parking.next(&accounts, &spare, trip, now));
+            let cost = restart_cost(machines.len(), rate);
+            moves.extend(self.parking.next(&accounts, &spare, cost, now));
         }
         moves
     }
 
     /// Returns what a successor has to know of the pools' use of their hosts.
-    pub fn record(&self, clock: ClockReading) -> UseRecord {
+    pub fn record(&self, clock: ClockPair) -> UsageRecord {
         self.parking.record(clock)
     }
 
     /// Takes over what a predecessor knew of it.
-    pub fn restore(&mut self, record: &UseRecord, clock: ClockReading) {
+    pub fn restore(&mut self, record: &UsageRecord, clock: ClockPair) {
         self.parking.restore(record, clock);
     }
 
     /// Returns what the last round found, before its moves.
-    pub fn rooms(&self) -> &[Room] {
-        &self.rooms
+    pub fn demands(&self) -> &[HostDemand] {
+        &self.demands
     }
 
-    fn remember(&mut self, machines: &BTreeMap<HostId, Machine>, now: Tick) {
+    fn remember(&mut self, machines: &BTreeMap<HostId, PlatformHost>, now: Tick) {
         for machine in machines.values() {
             let known = self.place.insert(machine.host.clone(), machine.pool.clone());
             if known.is_some_and(|known| known != machine.pool) {
@@ -192,13 +192,14 @@
         pool: &PoolName,
         state: &PoolState,
         size: u64,
-        machines: &BTreeMap<HostId, Machine>,
+        machines: &BTreeMap<HostId, PlatformHost>,
         held: &impl Fn(&HostId) -> bool,
         now: Tick,
     ) -> Account {
         let own = machines.values().filter(|machine| machine.pool == *pool);
-        let usable =
-            own.filter(|machine| matches!(machine.state, MachineState::Up | MachineState::Moving));
+        let usable = own.filter(|machine| {
+            matches!(machine.state, PlatformHostState::Up | PlatformHostState::Moving)
+        });
         let loads: BTreeMap<&WorkerId, &WorkerLoad> =
             state.load.workers.iter().map(|load| (&load.worker, load)).collect();
         let mut have = 0;
@@ -212,7 +213,7 @@
                 }
                 continue;
             }
-            let of_use = load.is_some() || machine.state != MachineState::Up;
+            let of_use = load.is_some() || machine.state != PlatformHostState::Up;
             if of_use || state.load.unsettled || self.is_awaited(&machine.host, now) {
                 have += 1;
             }
@@ -224,7 +225,7 @@
             let Some(load) = load.filter(|load| !load.pinned) else {
                 continue;
             };
-            if machine.state != MachineState::Up || fresh || held(&machine.host) {
+            if machine.state != PlatformHostState::Up || fresh || held(&machine.host) {
                 continue;
             }
             // A host with work on it is only given away whole, so those in use count as needed.
@@ -268,7 +269,7 @@
 }
 
 /// Returns the step by which a host leaves its pool, whose end is not known yet.
-fn leave(machine: &Machine, pool: &PoolName) -> Move {
+fn leave(machine: &PlatformHost, pool: &PoolName) -> Move {
     Move {
         host: machine.host.clone(),
         worker: machine.worker.clone(),
@@ -341,15 +342,15 @@
 /// Returns the hosts that are off and would be of use.
 fn parked(
     spare: &PoolName,
-    machines: &BTreeMap<HostId, Machine>,
+    machines: &BTreeMap<HostId, PlatformHost>,
     drained: &BTreeSet<ZoneName>,
     held: &impl Fn(&HostId) -> bool,
 ) -> Vec<Move> {
     let is_drained =
-        |machine: &Machine| machine.zone.as_ref().is_some_and(|zone| drained.contains(zone));
+        |machine: &PlatformHost| machine.zone.as_ref().is_some_and(|zone| drained.contains(zone));
     machines
         .values()
-        .filter(|machine| machine.pool == *spare && machine.state == MachineState::Up)
+        .filter(|machine| machine.pool == *spare && machine.state == PlatformHostState::Up)
         .filter(|machine| !is_drained(machine) && !held(&machine.host))
         .map(|machine| Move {
             host: machine.host.clone(),
--- a/reachhead_jobs/src/balance/parking.rs
+++ b/reachhead_jobs/src/balance/parking.rs
@@ -28,14 +28,14 @@
 /// What is remembered of the pools' use of their hosts, as the store keeps it for the next owner of all hosts. Without it a successor
 /// switches off what the next burst will use, or keeps what none did.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct UseRecord {
+pub struct UsageRecord {
     /// The pools.
-    pub pools: BTreeMap<PoolName, PoolUse>,
+    pub pools: BTreeMap<PoolName, PoolUsage>,
 }
 
 /// How many of its hosts a pool has used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PoolUse {
+pub struct PoolUsage {
     /// The most hosts that it had until it was seen to have work.
     pub first: usize,
     /// Since when it has had work, in milliseconds since 1970.
@@ -48,14 +48,14 @@
 
 /// Both clocks of a process at one moment: ticks mean nothing to another process.
 #[derive(Debug, Clone, Copy)]
-pub struct ClockReading {
+pub struct ClockPair {
     /// The moment.
     pub now: Tick,
     /// The time of day, in milliseconds since 1970.
     pub wall: Millis,
 }
 
-impl ClockReading {
+impl ClockPair {
     fn wall_at(self, at: Tick) -> Millis {
         Millis(self.wall.0.saturating_sub(self.now.since(at).0))
     }
@@ -86,17 +86,20 @@
 
 impl Parking {
     /// Returns what a successor has to know.
-    pub(super) fn record(&self, clock: ClockReading) -> UseRecord {
+    pub(super) fn record(&self, clock: ClockPair) -> UsageRecord {
         let pools = self.pools.iter().filter_map(|(pool, used)| {
             let &(at, most) = used.highest.front()?;
             let begun = used.begun.map(|begun| clock.wall_at(begun));
-            Some((pool.clone(), PoolUse { first: used.first, begun, most, at: clock.wall_at(at) }))
+            Some((
+                pool.clone(),
+                PoolUsage { first: used.first, begun, most, at: clock.wall_at(at) },
+            ))
         });
-        UseRecord { pools: pools.collect() }
+        UsageRecord { pools: pools.collect() }
     }
 
     /// Takes over what a predecessor knew.
-    pub(super) fn restore(&mut self, record: &UseRecord, clock: ClockReading) {
+    pub(super) fn restore(&mut self, record: &UsageRecord, clock: ClockPair) {
         for (pool, known) in &record.pools {
             let used = self.pools.entry(pool.clone()).or_default();
             used.first = used.first.max(known.first);
@@ -185,7 +188,7 @@
 /// Returns what switching an idle host off and on again costs, in time of a host. Each such move keeps another waiting that some
 /// burst needs, so it costs the fleet what the platform needs to move all hosts, shared by them. Where that is less than
 /// hosts are left idle anyway it does not count.
-pub fn round_trip(hosts: usize, rate: f64) -> Millis {
+pub fn restart_cost(hosts: usize, rate: f64) -> Millis {
     let whole = if rate > 0.0 { Millis((hosts as f64 / rate * SECOND) as u64) } else { Millis(0) };
     if whole <= IDLE_TIME { Millis(0) } else { Millis(2 * whole.0) }
 }
--- a/reachhead_jobs/src/candidate.rs
+++ b/reachhead_jobs/src/candidate.rs
@@ -73,7 +73,7 @@
 }
 
 /// Returns how many of `others` should take the pool rather than `own`.
-pub fn before<'a>(
+pub fn count_preferred<'a>(
     pool: &PoolName,
     own: &Candidate<'_>,
     others: impl Iterator<Item = Candidate<'a>>,
@@ -91,7 +91,7 @@
     let others: Vec<Candidate<'a>> = others.collect();
     let outmatched = others.iter().any(|other| other.precedes(own, pool) && other.outmatches(own));
     let weak = if outmatched { WEAK_DELAY } else { Millis(0) };
-    let rank = before(pool, own, others.into_iter());
+    let rank = count_preferred(pool, own, others.into_iter());
     let ranked = RANK_DELAY.0 * rank.min(RANKS_MOST) as u64;
     if member && rank < RANKS_MOST {
         return Millis(ranked + weak.0);
--- a/reachhead_jobs/src/clock.rs
+++ b/reachhead_jobs/src/clock.rs
@@ -60,14 +60,14 @@
 
 /// The newest reading of a worker's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reading {
+pub struct ClockSample {
     /// What the worker's clock showed.
     pub shown: WorkerTime,
     /// When the answer that told it arrived here.
     pub at: Tick,
 }
 
-impl Reading {
+impl ClockSample {
     /// Returns what the worker's clock shows now, at least if it runs true.
     pub fn estimate(self, now: Tick) -> WorkerTime {
         WorkerTime(self.shown.0 + now.since(self.at).0)
@@ -76,11 +76,11 @@
     /// Returns a moment of this process's clock at which the worker's has surely passed `deadline`.
     pub fn surely_past(self, deadline: WorkerTime) -> Tick {
         let left = deadline.0.saturating_sub(self.shown.0);
-        self.at + stretched(Millis(left)) + LAPSE_SLACK
+        self.at + with_drift(Millis(left)) + LAPSE_SLACK
     }
 }
 
 /// Returns how long a span on a worker's clock lasts at most.
-pub const fn stretched(span: Millis) -> Millis {
+pub const fn with_drift(span: Millis) -> Millis {
     Millis(span.0 + span.0.div_ceil(1000 / DRIFT_MILLIS) + 1)
 }
--- a/reachhead_jobs/src/lives.rs
+++ b/reachhead_jobs/src/dead_workers.rs
@@ -9,11 +9,11 @@
 
 use reachhead_types::id::{HostId, PoolName, WorkerId};
 
-use crate::ports::Machine;
+use crate::ports::PlatformHost;
 
 /// A worker of a pool that nobody answers for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Deserted {
+pub struct UnreachableWorker {
     /// The pool that may have used it.
     pub pool: PoolName,
     /// The life.
@@ -21,11 +21,11 @@
 }
 
 /// Returns those that no host has; `machines` is a list that was read after their owners told of them.
-pub fn ended<'a>(
-    deserted: &'a [Deserted],
-    machines: &BTreeMap<HostId, Machine>,
-) -> impl Iterator<Item = &'a Deserted> {
+pub fn dead_workers<'a>(
+    unreachable: &'a [UnreachableWorker],
+    machines: &BTreeMap<HostId, PlatformHost>,
+) -> impl Iterator<Item = &'a UnreachableWorker> {
     let alive: BTreeSet<WorkerId> =
         machines.values().filter_map(|machine| machine.worker.clone()).collect();
-    deserted.iter().filter(move |deserted| !alive.contains(&deserted.worker))
+    unreachable.iter().filter(move |unreachable| !alive.contains(&unreachable.worker))
 }
--- a/reachhead_jobs/src/liveness.rs
+++ b/reachhead_jobs/src/liveness.rs
@@ -19,17 +19,17 @@
 
 /// How a process reaches the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StoreSight {
+pub struct StoreReachability {
     /// How long ago the store answered it.
     pub age: Millis,
     /// Its last call failed.
     pub failing: bool,
 }
 
-impl StoreSight {
+impl StoreReachability {
     /// Tells whether an owner with this sight should lose its pools to a process that has reached the store without a
     /// gap for `own`.
-    pub fn is_blind(self, own: Millis) -> bool {
+    pub fn is_cut_off(self, own: Millis) -> bool {
         let limit = if self.failing { FAILING_TIME } else { BLIND_TIME };
         self.age > limit && own > SIGHT_TIME
     }
--- a/reachhead_jobs/src/membership.rs
+++ b/reachhead_jobs/src/membership.rs
@@ -44,51 +44,52 @@
 const RETRY_MOST: Millis = Millis(5000);
 
 /// Calls in a row that a member has to leave without an answer to be taken off the list.
-pub const MISSES_MOST: u32 = 4;
+pub const MAX_MISSED_PINGS: u32 = 4;
 
 /// A process as whoever decides about the list sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Entrant<'a> {
+pub struct MemberCandidate<'a> {
     /// The process.
     pub node: &'a NodeName,
     /// What it bears.
     pub strength: Strength,
 }
 
-impl Entrant<'_> {
+impl MemberCandidate<'_> {
     /// Tells whether this process should rather be on the list than `other`.
-    fn precedes(&self, other: &Entrant<'_>) -> bool {
+    fn precedes(&self, other: &MemberCandidate<'_>) -> bool {
         (self.strength, other.node) > (other.strength, self.node)
     }
 }
 
 /// Returns how many members there should be.
-pub fn seats(pools: usize) -> usize {
+pub fn target_members(pools: usize) -> usize {
     SEATS_LEAST.max(SEATS_PER_POOL * pools)
 }
 
 /// Tells whether a process should enter: fewer than the seats are taken by others that are at least as strong.
-pub fn should_enter<'a>(
-    own: Entrant<'_>,
-    others: impl Iterator<Item = Entrant<'a>>,
-    seats: usize,
+pub fn should_join<'a>(
+    own: MemberCandidate<'_>,
+    others: impl Iterator<Item = MemberCandidate<'a>>,
+    target_members: usize,
 ) -> bool {
-    others.filter(|other| other.strength >= own.strength).take(seats).count() < seats
+    others.filter(|other| other.strength >= own.strength).take(target_members).count()
+        < target_members
 }
 
 /// Tells whether a member should leave: far more than the seats are taken by others that go before it.
 pub fn should_leave<'a>(
-    own: Entrant<'_>,
-    others: impl Iterator<Item = Entrant<'a>>,
-    seats: usize,
+    own: MemberCandidate<'_>,
+    others: impl Iterator<Item = MemberCandidate<'a>>,
+    target_members: usize,
 ) -> bool {
-    let most = SURPLUS_FACTOR * seats;
+    let most = SURPLUS_FACTOR * target_members;
     others.filter(|other| other.precedes(&own)).take(most).count() == most
 }
 
 /// Returns how long a process of this strength waits before it enters; `share`, evenly random from 0 to 1, spreads those that
 /// are alike.
-pub fn entry_delay(strength: Strength, share: f64) -> Duration {
+pub fn join_delay(strength: Strength, share: f64) -> Duration {
     let usual = STRENGTH_TIME.0 * USUAL_STRENGTH / u64::from(strength.0).max(1);
     let first = Millis(usual.min(STRENGTH_TIME_MOST.0)).duration();
     let turn = (TURNS + share.max(f64::MIN_POSITIVE).log2()).max(0.0);
@@ -102,6 +103,6 @@
 }
 
 /// Tells whether members that did not answer may be taken off the list: whoever hears none of them is itself cut off.
-pub fn may_judge(answered: usize, asked: usize) -> bool {
+pub fn can_remove_members(answered: usize, asked: usize) -> bool {
     2 * answered >= asked
 }
--- a/reachhead_jobs/src/pool/crash.rs
+++ b/reachhead_jobs/src/pool/crash.rs
@@ -23,7 +23,7 @@
 
 /// On whose word a worker's life is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WorkerEnd {
+pub enum DeathEvidence {
     /// Another life answers at its address.
     Replaced,
     /// Its host answers that nobody listens, and the platform has no host with it.
@@ -32,7 +32,7 @@
     OffList,
 }
 
-impl Display for WorkerEnd {
+impl Display for DeathEvidence {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Replaced => "another life answers there",
@@ -44,7 +44,7 @@
 
 impl Pool {
     /// A life of a worker is over, and with it everything that ran there.
-    pub fn worker_over(&mut self, id: &WorkerId, end: WorkerEnd, now: Tick) {
+    pub fn worker_died(&mut self, id: &WorkerId, end: DeathEvidence, now: Tick) {
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
@@ -65,7 +65,7 @@
         // A worker that crashed reports no ends, so its tasks would start again as if they had never been there. What planned work
         // ends, or a worker that only is out of reach, has not crashed by its tasks.
         let planned = worker.info.draining || worker.cordoned > now;
-        if end != WorkerEnd::OffList && !planned {
+        if end != DeathEvidence::OffList && !planned {
             for involved in involved.into_iter().chain(worker.lapsed) {
                 self.blame_task(involved);
             }
--- a/reachhead_jobs/src/pool/drain.rs
+++ b/reachhead_jobs/src/pool/drain.rs
@@ -34,7 +34,7 @@
 impl Pool {
     /// Takes over which zones operators drain, as that was known at `seen`.
     pub fn drain_zones(&mut self, zones: &BTreeSet<ZoneName>, seen: Tick) {
-        self.drained.until = Some(seen + self.tuning.drain);
+        self.drained.until = Some(seen + self.timeouts.drain);
         if self.drained.zones == *zones {
             return;
         }
--- a/reachhead_jobs/src/pool/vacate.rs
+++ b/reachhead_jobs/src/pool/drain_worker.rs
@@ -33,7 +33,7 @@
 /// How far a worker is emptied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Vacancy {
+pub enum DrainProgress {
     /// The pool does not have the worker.
     Unknown,
     /// Something protected is there, and may not be taken away yet.
@@ -46,7 +46,7 @@
 
 impl Pool {
     /// Gives a worker nothing new, moves away what may be moved, and tells how far that is.
-    pub fn vacate(&mut self, id: &WorkerId, mode: DrainMode, now: Tick) -> Vacancy {
+    pub fn drain_worker(&mut self, id: &WorkerId, mode: DrainMode, now: Tick) -> DrainProgress {
         // Until all workers have answered a new owner it does not know what is where, and what its
         // predecessor stops may still be reported as at work for a while. A worker that has answered that
         // it runs nothing may go all the same.
@@ -59,31 +59,35 @@
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.cordoned = Tick(0);
             }
-            return Vacancy::Protected;
+            return DrainProgress::Protected;
         }
         let Some(worker) = self.workers.get_mut(id) else {
             // It may be listed any moment, and must get nothing then.
             self.cordons.insert(id.clone(), until);
-            return if settled { Vacancy::Unknown } else { Vacancy::Protected };
+            return if settled { DrainProgress::Unknown } else { DrainProgress::Protected };
         };
         worker.cordoned = until;
         // Ends that are not recorded are known to the worker alone if this owner is lost.
         let recorded = worker.seen >= worker.noted;
         if worker.is_bare() && recorded {
-            return Vacancy::Empty;
+            return DrainProgress::Empty;
         }
         if !settled || !worker.answered {
-            return Vacancy::Protected;
+            return DrainProgress::Protected;
         }
         let tasks: Vec<TaskId> = worker.runs.keys().copied().collect();
-        let mut vacancy = if recorded { Vacancy::Empty } else { Vacancy::Protected };
+        let mut progress = if recorded { DrainProgress::Empty } else { DrainProgress::Protected };
         for task in tasks {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
             let step = &job.plan.steps[task.step as usize];
             let short = !step.long_running;
-            vacancy = vacancy.min_of(if short { Vacancy::Short } else { Vacancy::Protected });
+            progress = progress.min_of(if short {
+                DrainProgress::Short
+            } else {
+                DrainProgress::Protected
+            });
             let state = &job.steps[&task.step_id()].tasks[task.index as usize];
             let run = state.runs.iter().find(|run| run.worker == *id);
             let Some(run) = run.filter(|run| run.phase == Phase::Working).cloned() else {
@@ -98,12 +102,12 @@
                 self.surge_until = now + SURGE_TIME;
             }
         }
-        vacancy
+        progress
     }
 
     /// Returns when every stop that a predecessor ordered is over.
     fn quiet_since(&self) -> Option<Tick> {
-        self.settled_at.map(|at| at + Millis(self.tuning.stop.0 + STOP_SLACK.0))
+        self.settled_at.map(|at| at + Millis(self.timeouts.stop.0 + STOP_SLACK.0))
     }
 
     /// Tells whether a worker can't be emptied now: no other takes tasks, or tasks that must be at work
@@ -161,16 +165,16 @@
         // A report from before that may have a predecessor's run that the predecessor has stopped.
         let certain = |run: &Run| {
             let worker = self.workers.get(&run.worker).filter(|worker| !worker.silent);
-            let reading = worker.and_then(|worker| worker.reading);
+            let sample = worker.and_then(|worker| worker.sample);
             let since = quiet.filter(|_| run.adopted).unwrap_or_default();
-            reading.is_some_and(|reading| reading.at >= since)
+            sample.is_some_and(|sample| sample.at >= since)
         };
         let away = job.steps[&task.step_id()].others_away(task.index, certain);
         step.may_miss == 0 || away < step.may_miss
     }
 }
 
-impl Vacancy {
+impl DrainProgress {
     fn min_of(self, other: Self) -> Self {
         if (other as u8) < (self as u8) { other } else { self }
     }
--- a/reachhead_jobs/src/pool/mod.rs
+++ b/reachhead_jobs/src/pool/mod.rs
@@ -9,32 +9,32 @@
 mod callers;
 mod crash;
 mod drain;
+mod drain_worker;
 mod expiring;
 mod flush;
-mod inheritance;
 mod load;
 mod orders;
 mod pace;
 mod polls;
 mod quota;
 mod rebirth;
+mod recovered_state;
 mod refusal;
 mod reports;
 mod roster;
 mod starts;
-mod vacate;
 mod weights;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 pub use action::{Action, Note, NoteKind, StopReason};
 pub use callers::{Cancelled, JobState, StateReply, is_foreign};
-pub use crash::WorkerEnd;
+pub use crash::DeathEvidence;
+pub use drain_worker::{DrainMode, DrainProgress};
 pub use flush::{Batch, Due, Lane};
-pub use inheritance::{Inheritance, StoredJob, StoredProgress};
 pub use load::{PoolLoad, WorkerLoad};
+pub use recovered_state::{RecoveredState, StoredJob, StoredProgress};
 pub use roster::{StoredRoster, StoredWorker};
-pub use vacate::{DrainMode, Vacancy};
 
 use reachhead_types::{
     id::{CustomerName, JobId, PoolName, WorkerId},
@@ -43,7 +43,7 @@
 
 use self::rebirth::is_newer;
 use crate::{
-    clock::{Tick, stretched},
+    clock::{Tick, with_drift},
     job::Job,
     order::Experience,
     ports::{EndedEntry, WorkerInfo, WorkerTarget},
@@ -65,7 +65,7 @@
 
 /// Times that follow from the platform's contract.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tuning {
+pub struct PoolTimeouts {
     /// How long a worker may hold its runs without a renewal.
     pub hold: Millis,
     /// How long an owner goes on giving orders without a sign that it still is in charge.
@@ -84,21 +84,21 @@
     pub drain: Millis,
 }
 
-impl Tuning {
+impl PoolTimeouts {
     /// Returns how long after a change of hands an order of a predecessor that may be alive can have
     /// effect on a worker that the successor can't reach.
-    pub fn inheritance(&self) -> Millis {
-        Millis(self.trust.0 + stretched(self.hold).0)
+    pub fn takeover_delay(&self) -> Millis {
+        Millis(self.trust.0 + with_drift(self.hold).0)
     }
 
     /// Returns the same for a predecessor that gave the pool back: what it ordered itself outlasts that by a lease, and what it had
     /// not heard of its own predecessors by as long as it says.
     pub fn after_release(&self, record: &LeaseRecord) -> Millis {
-        let leases = stretched(self.hold);
+        let leases = with_drift(self.hold);
         match record.open {
             _ if record.settled => leases,
             Some(open) => leases.max(open),
-            None => self.inheritance(),
+            None => self.takeover_delay(),
         }
     }
 }
@@ -117,7 +117,7 @@
     token: FencingToken,
     fences: BTreeMap<Shard, Revision>,
     term: u64,
-    tuning: Tuning,
+    timeouts: PoolTimeouts,
     jobs: BTreeMap<JobId, Job>,
     closed: BTreeMap<JobId, Closed>,
     workers: BTreeMap<WorkerId, Worker>,
@@ -182,8 +182,8 @@
         name: PoolName,
         token: FencingToken,
         term: u64,
-        tuning: Tuning,
-        found: Inheritance,
+        timeouts: PoolTimeouts,
+        found: RecoveredState,
         now: Tick,
         wall: Millis,
     ) -> Self {
@@ -192,7 +192,7 @@
             token,
             fences: found.fences,
             term,
-            tuning,
+            timeouts,
             jobs: BTreeMap::new(),
             closed: BTreeMap::new(),
             workers: BTreeMap::new(),
@@ -358,7 +358,7 @@
 
     /// Tells whether this owner may still give orders.
     fn trusted(&self, now: Tick) -> bool {
-        now.since(self.verified) <= self.tuning.trust
+        now.since(self.verified) <= self.timeouts.trust
     }
 
     fn unfold(&mut self, wall: Millis) {
--- a/reachhead_jobs/src/pool/orders.rs
+++ b/reachhead_jobs/src/pool/orders.rs
@@ -6,9 +6,9 @@
 };
 
 use crate::{
-    clock::{Reading, Tick, WorkerTime},
+    clock::{ClockSample, Tick, WorkerTime},
     job::{Phase, Run},
-    pool::{Action, NoteKind, Pool, WorkerEnd},
+    pool::{Action, DeathEvidence, NoteKind, Pool},
     ports::{Rejection, WorkerError},
     task::TaskId,
 };
@@ -35,10 +35,10 @@
     fn hear(&mut self, id: &WorkerId, shown: WorkerTime, now: Tick) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.heard = now;
-            let newer = worker.reading.is_none_or(|reading| reading.shown < shown);
+            let newer = worker.sample.is_none_or(|sample| sample.shown < shown);
             // An answer to an order does not tell of which life it is, and another's clock shows another time.
             if newer && worker.born.is_none() {
-                worker.reading = Some(Reading { shown, at: now });
+                worker.sample = Some(ClockSample { shown, at: now });
             }
         }
     }
@@ -69,7 +69,7 @@
                 }
                 run.settled = run.settled.or(Some(now));
             }
-            Err(WorkerError::Replaced) => self.worker_over(id, WorkerEnd::Replaced, now),
+            Err(WorkerError::Replaced) => self.worker_died(id, DeathEvidence::Replaced, now),
             Err(WorkerError::Broken(_)) => {
                 run.doubtful = true;
                 run.retry = now + ORDER_PAUSE;
@@ -157,7 +157,7 @@
         }
         self.review = true;
         if result == Err(WorkerError::Replaced) {
-            self.worker_over(id, WorkerEnd::Replaced, now);
+            self.worker_died(id, DeathEvidence::Replaced, now);
             return;
         }
         if result == Err(WorkerError::Rejected(Rejection::Fenced)) {
--- a/reachhead_jobs/src/pool/pace.rs
+++ b/reachhead_jobs/src/pool/pace.rs
@@ -63,7 +63,7 @@
         let mut changes = Vec::new();
         let mut looked = Vec::new();
         for worker in self.workers.values() {
-            let fresh = worker.reading.is_some_and(|reading| reading.at > worker.paced);
+            let fresh = worker.sample.is_some_and(|sample| sample.at > worker.paced);
             if !fresh || worker.silent || !self.has_fills(worker) {
                 continue;
             }
--- a/reachhead_jobs/src/pool/polls.rs
+++ b/reachhead_jobs/src/pool/polls.rs
@@ -6,7 +6,7 @@
     clock::{Tick, WorkerTime},
     job::{Phase, Run},
     model::Step,
-    pool::{Action, NoteKind, Pool, StopReason, WorkerEnd},
+    pool::{Action, DeathEvidence, NoteKind, Pool, StopReason},
     ports::{HoldOrder, StartOrder},
     task::TaskId,
     worker::{Poll, Worker},
@@ -37,7 +37,7 @@
     /// Sends the long polls that are due.
     pub(super) fn drive_polls(&mut self, now: Tick) {
         let trusted = self.trusted(now);
-        let hold = self.tuning.hold;
+        let hold = self.timeouts.hold;
         let mut actions = Vec::new();
         for worker in self.workers.values() {
             let Poll::Due(due) = worker.poll else {
@@ -47,9 +47,9 @@
                 continue;
             }
             let deadline = worker
-                .reading
+                .sample
                 .filter(|_| trusted && !worker.silent)
-                .map(|reading| WorkerTime(reading.estimate(now).0 + hold.0));
+                .map(|sample| WorkerTime(sample.estimate(now).0 + hold.0));
             // One that has started again since must not forget ends that have the numbers of earlier ones.
             let seen = if worker.silent { 0 } else { worker.seen };
             let order = HoldOrder { deadline, seen, wait: self.wait_of(worker) };
@@ -76,7 +76,7 @@
         if self.fills && self.has_fills(worker) {
             return FILL_WAIT;
         }
-        if self.has_short(worker) { BUSY_WAIT.min(self.tuning.wait) } else { self.tuning.wait }
+        if self.has_short(worker) { BUSY_WAIT.min(self.timeouts.wait) } else { self.timeouts.wait }
     }
 
     /// Tells whether a task is on the worker that ends by itself.
@@ -110,7 +110,7 @@
             self.lapse(&id);
         }
         for id in over {
-            self.worker_over(&id, WorkerEnd::OffList, now);
+            self.worker_died(&id, DeathEvidence::OffList, now);
         }
     }
 
@@ -192,7 +192,7 @@
             Phase::Ordered => {
                 let worker = self.workers.get(&run.worker)?;
                 let past =
-                    worker.reading.is_some_and(|reading| reading.surely_past(run.deadline) <= now);
+                    worker.sample.is_some_and(|sample| sample.surely_past(run.deadline) <= now);
                 // After its deadline it can't begin any more, but it may have begun before.
                 Some(if past { What::Settle } else { What::Repeat })
             }
--- a/reachhead_jobs/src/pool/quota.rs
+++ b/reachhead_jobs/src/pool/quota.rs
@@ -13,7 +13,7 @@
     customer::Customers,
     job::Job,
     pool::{NoteKind, Pool},
-    quota::{Allotment, Allowances, Demand, Statement},
+    quota::{Allotment, CustomerLimits, Demand, UsageReport},
 };
 
 /// Least time between two lines about a customer that is held back.
@@ -22,7 +22,7 @@
 /// Quotas as the owner of a pool knows them.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Quotas {
-    allowances: Allowances,
+    limits: CustomerLimits,
     /// The customers are limited at all; without quotas nothing is counted.
     limited: bool,
     /// What customers have running, as of the current round.
@@ -36,7 +36,7 @@
 impl Quotas {
     /// Returns the jobs a second that a customer is owed, if it is owed a number of them.
     pub(super) fn weight(&self, customer: &CustomerName) -> Option<Weight> {
-        self.allowances.weight(customer)
+        self.limits.weight(customer)
     }
 }
 
@@ -51,18 +51,18 @@
 impl Pool {
     /// Takes over the customers of a configuration.
     pub fn configure(&mut self, customers: &Arc<Customers>) {
-        self.quotas.allowances.configure(customers);
-        self.quotas.limited = self.quotas.allowances.any_limited();
+        self.quotas.limits.configure(customers);
+        self.quotas.limited = self.quotas.limits.any_limited();
     }
 
     /// Notes who keeps the ledger now, by the store's word.
     pub fn follow_ledger(&mut self, ledger: FencingToken, now: Tick) {
-        self.quotas.allowances.follow(ledger, now);
+        self.quotas.limits.follow(ledger, now);
     }
 
     /// Takes in what the pool may have running for customers, and states what it has and could use.
-    pub fn allot(&mut self, allotment: &Allotment) -> Statement {
-        self.quotas.allowances.take(allotment, self.token);
+    pub fn allot(&mut self, allotment: &Allotment) -> UsageReport {
+        self.quotas.limits.take(allotment, self.token);
         let mut demand: BTreeMap<CustomerName, Demand> = BTreeMap::new();
         for (customer, used) in self.count_used() {
             demand.entry(customer).or_default().used = used;
@@ -71,12 +71,12 @@
             let entry = demand.entry(customer.clone()).or_default();
             (entry.wanted, entry.next) = (held.wanted, held.next);
         }
-        self.quotas.allowances.answer(allotment, self.token, &demand)
+        self.quotas.limits.answer(allotment, self.token, &demand)
     }
 
     /// Counts what customers have running, before a round starts anything.
     pub(super) fn begin_quotas(&mut self, now: Tick) {
-        self.quotas.allowances.expire(now);
+        self.quotas.limits.expire(now);
         self.quotas.held.clear();
         if self.quotas.limited {
             self.quotas.used = self.count_used();
@@ -89,7 +89,7 @@
             return true;
         };
         let used = self.quotas.used.get(customer).copied().unwrap_or_default();
-        self.quotas.allowances.allows(customer, used, need)
+        self.quotas.limits.allows(customer, used, need)
     }
 
     /// Counts a task that starts in this round.
@@ -122,7 +122,7 @@
             }
             self.quotas.told.insert(customer.clone(), now);
             let used = self.quotas.used.get(customer).copied().unwrap_or_default();
-            let room = self.quotas.allowances.headroom(customer, used);
+            let room = self.quotas.limits.headroom(customer, used);
             lines.push(format!(
                 "customer={customer} tasks={} cores={} used={} left={room}",
                 held.tasks, held.wanted.cores, used.cores
@@ -143,7 +143,7 @@
         let customers = self.jobs.values().filter_map(|job| job.customer.as_ref());
         let room = |customer: &CustomerName| {
             let used = used.get(customer).copied().unwrap_or_default();
-            self.quotas.allowances.headroom(customer, used)
+            self.quotas.limits.headroom(customer, used)
         };
         customers.map(|customer| (customer.clone(), room(customer))).collect()
     }
@@ -154,7 +154,7 @@
             return true;
         };
         let used = self.quotas.used.get(customer).copied().unwrap_or_default();
-        self.quotas.allowances.headroom(customer, used) > 0
+        self.quotas.limits.headroom(customer, used) > 0
     }
 
     fn limited_customer(&self, job: JobId) -> Option<&CustomerName> {
--- a/reachhead_jobs/src/pool/rebirth.rs
+++ b/reachhead_jobs/src/pool/rebirth.rs
@@ -53,7 +53,7 @@
             worker.seen = 0;
             worker.unrecorded.clear();
             // The call that was answered had a deadline by the old clock, for which the longest lease is granted that there is.
-            worker.granted = WorkerTime(report.clock.0 + self.tuning.grant.0);
+            worker.granted = WorkerTime(report.clock.0 + self.timeouts.grant.0);
             worker.speed = Speed::new(now);
             worker.begin_life(now);
         }
@@ -75,7 +75,7 @@
     /// Takes in the first report of a worker. In a young life a predecessor may have taken it for the one before, and have prolonged
     /// its lease by that one's clock.
     pub(super) fn meet(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
-        let (epoch, grant) = (self.epoch, self.tuning.grant);
+        let (epoch, grant) = (self.epoch, self.timeouts.grant);
         let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.answered) else {
             return;
         };
--- a/reachhead_jobs/src/pool/inheritance.rs
+++ b/reachhead_jobs/src/pool/recovered_state.rs
@@ -35,7 +35,7 @@
 
 /// What an owner finds when it takes charge of a pool.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Inheritance {
+pub struct RecoveredState {
     /// The jobs that are not over.
     pub jobs: Vec<StoredJob>,
     /// The workers that a predecessor may have used.
--- a/reachhead_jobs/src/pool/reports.rs
+++ b/reachhead_jobs/src/pool/reports.rs
@@ -6,9 +6,9 @@
 };
 
 use crate::{
-    clock::{Reading, Tick},
+    clock::{ClockSample, Tick},
     job::{Phase, Run},
-    pool::{Action, Note, NoteKind, Orphan, Pool, WorkerEnd, rebirth::is_newer},
+    pool::{Action, DeathEvidence, Note, NoteKind, Orphan, Pool, rebirth::is_newer},
     ports::{EndedEntry, Rejection, RunEnd, RunningEntry, WorkerError, WorkerReport},
     record::Ending,
     task::TaskId,
@@ -46,7 +46,7 @@
     ) {
         match result {
             Ok(report) => self.report(id, sent, report, now),
-            Err(WorkerError::Replaced) => self.worker_over(id, WorkerEnd::Replaced, now),
+            Err(WorkerError::Replaced) => self.worker_died(id, DeathEvidence::Replaced, now),
             Err(error) => {
                 if error == WorkerError::Rejected(Rejection::Fenced) {
                     self.actions.push(Action::Fenced);
@@ -100,7 +100,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.reading = Some(Reading { shown: report.clock, at: now });
+        worker.sample = Some(ClockSample { shown: report.clock, at: now });
         worker.silent = false;
         worker.deserted = false;
         worker.answered = true;
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -292,14 +292,14 @@
     }
 
     fn start(&mut self, id: TaskId, step: &Step, worker: WorkerId, number: RunNumber, now: Tick) {
-        let hold = self.tuning.hold;
+        let hold = self.timeouts.hold;
         let Some(known) = self.workers.get_mut(&worker) else {
             return;
         };
-        let Some(reading) = known.reading else {
+        let Some(sample) = known.sample else {
             return;
         };
-        let deadline = WorkerTime(reading.estimate(now).0 + hold.0);
+        let deadline = WorkerTime(sample.estimate(now).0 + hold.0);
         known.granted = known.granted.max(deadline);
         known.charge(id, number, step.charge());
         self.charge_quota(id.job, step.need);
--- a/reachhead_jobs/src/ports/hosts.rs
+++ b/reachhead_jobs/src/ports/hosts.rs
@@ -4,11 +4,11 @@
 use reachhead_types::id::{HostId, PoolName, WaveName, WorkerId, ZoneName};
 use thiserror::Error;
 
-use crate::authority::Mandate;
+use crate::authority::OrderPermit;
 
 /// What a host is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MachineState {
+pub enum PlatformHostState {
     /// It is up.
     Up,
     /// It is moving to another pool.
@@ -21,7 +21,7 @@
 
 /// A host on the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Machine {
+pub struct PlatformHost {
     /// The host.
     pub host: HostId,
     /// Its pool.
@@ -29,14 +29,14 @@
     /// The availability zone where it stands, if the list says so.
     pub zone: Option<ZoneName>,
     /// What it is doing.
-    pub state: MachineState,
+    pub state: PlatformHostState,
     /// The life of its worker, if it has one.
     pub worker: Option<WorkerId>,
 }
 
 /// Why an order for a host was not taken.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum MachineError {
+pub enum HostOrderError {
     /// Somebody else has given orders for it with a higher token.
     #[error("fenced")]
     Fenced,
@@ -58,35 +58,35 @@
 }
 
 /// The platform's hosts.
-pub trait MachineApi: Send + Sync {
+pub trait HostApi: Send + Sync {
     /// Returns all hosts.
     ///
     /// # Errors
     ///
-    /// Any [`MachineError`].
-    fn list(&self) -> BoxFuture<'_, Result<Vec<Machine>, MachineError>>;
+    /// Any [`HostOrderError`].
+    fn list(&self) -> BoxFuture<'_, Result<Vec<PlatformHost>, HostOrderError>>;
 
     /// Puts a host under the maintenance of a wave; everything on it ends at once.
     ///
     /// # Errors
     ///
-    /// Any [`MachineError`].
+    /// Any [`HostOrderError`].
     fn maintain(
         &self,
-        mandate: Mandate,
+        permit: OrderPermit,
         host: HostId,
         wave: WaveName,
-    ) -> BoxFuture<'_, Result<(), MachineError>>;
+    ) -> BoxFuture<'_, Result<(), HostOrderError>>;
 
     /// Moves a host to another pool; everything on it ends at once.
     ///
     /// # Errors
     ///
-    /// Any [`MachineError`].
+    /// Any [`HostOrderError`].
     fn relocate(
         &self,
-        mandate: Mandate,
+        permit: OrderPermit,
         host: HostId,
         pool: PoolName,
-    ) -> BoxFuture<'_, Result<(), MachineError>>;
+    ) -> BoxFuture<'_, Result<(), HostOrderError>>;
 }
--- a/reachhead_jobs/src/ports/mod.rs
+++ b/reachhead_jobs/src/ports/mod.rs
@@ -11,8 +11,8 @@
     advice::{Advisor, Approval},
     caller::{Admission, Answer, Call, CallKind, Frontend},
     feed::{Change, FeedError, FeedPage, TableFeed},
-    hosts::{Machine, MachineApi, MachineError, MachineState},
-    operators::{Dialect, OperatorRow, RowError},
+    hosts::{HostApi, HostOrderError, PlatformHost, PlatformHostState},
+    operators::{OperatorRow, RowError, RowFormat},
     worker::{
         EndedEntry, HoldOrder, Rejection, RunEnd, RunningEntry, StartOrder, WorkerAgent,
         WorkerError, WorkerInfo, WorkerReport, WorkerTarget,
--- a/reachhead_jobs/src/ports/operators.rs
+++ b/reachhead_jobs/src/ports/operators.rs
@@ -31,7 +31,7 @@
 }
 
 /// How operators and workers write their rows in the platform's store.
-pub trait Dialect: Send + Sync {
+pub trait RowFormat: Send + Sync {
     /// Returns the table that operators write.
     fn operator_table(&self) -> &'static str;
 
--- a/reachhead_jobs/src/quota/allowance.rs
+++ b/reachhead_jobs/src/quota/allowance.rs
@@ -8,7 +8,7 @@
     size::{FencingToken, Millis, Weight},
 };
 
-use super::{Allotment, Standing, Statement};
+use super::{Allotment, CustomerUsage, UsageReport};
 use crate::{
     clock::Tick,
     customer::{Customers, Quota},
@@ -16,7 +16,7 @@
 
 /// How long limits count after the ledger that gave them was replaced. The new one asks every owner within some
 /// milliseconds; an owner that it can't reach must not start anything for long on what others may have been given since.
-pub const VOID_TIME: Millis = Millis(2000);
+pub const LIMIT_EXPIRY: Millis = Millis(2000);
 
 /// Steps of a quota in which what runs and waits is told.
 const STEPS: u64 = 16;
@@ -35,17 +35,17 @@
 impl Demand {
     /// Returns what the ledger is told. What runs and waits changes with each task, so it is told in steps, rounded up: a
     /// customer's standing is told some times a second and not at each start.
-    fn standing(self, limit: Amount, quota: Quota) -> Standing {
+    fn usage(self, limit: Amount, quota: Quota) -> CustomerUsage {
         let rounded = self.used.stepped(quota.0, STEPS);
         let used = if self.used.fits(limit) { rounded.least(limit) } else { rounded };
         let wanted = self.wanted.stepped(quota.0, STEPS);
-        Standing { limit, used: used.max(self.used.least(limit)), wanted, next: self.next }
+        CustomerUsage { limit, used: used.max(self.used.least(limit)), wanted, next: self.next }
     }
 }
 
 /// The limits of a pool's customers.
 #[derive(Debug, Clone, Default)]
-pub struct Allowances {
+pub struct CustomerLimits {
     customers: Arc<Customers>,
     ledger: FencingToken,
     round: u64,
@@ -53,7 +53,7 @@
     /// A later ledger that has not been heard.
     heir: Option<Heir>,
     /// The last statement, and the ledger and round that it answered.
-    told: BTreeMap<CustomerName, Standing>,
+    told: BTreeMap<CustomerName, CustomerUsage>,
     answered: (FencingToken, u64),
 }
 
@@ -64,7 +64,7 @@
     since: Tick,
 }
 
-impl Allowances {
+impl CustomerLimits {
     /// Returns limits by which no customer with a quota may start anything: a predecessor may have used all of it.
     pub fn new() -> Self {
         Self::default()
@@ -113,7 +113,7 @@
 
     /// Drops the limits if the ledger that gave them has long been replaced.
     pub fn expire(&mut self, now: Tick) {
-        if self.heir.is_some_and(|heir| now.since(heir.since) > VOID_TIME) {
+        if self.heir.is_some_and(|heir| now.since(heir.since) > LIMIT_EXPIRY) {
             self.limits.clear();
         }
     }
@@ -147,41 +147,41 @@
         allotment: &Allotment,
         owner: FencingToken,
         demand: &BTreeMap<CustomerName, Demand>,
-    ) -> Statement {
-        let mut statement = self.statement(owner, demand);
+    ) -> UsageReport {
+        let mut report = self.report(owner, demand);
         let message = (allotment.ledger, allotment.round);
         if message != (self.ledger, self.round) || message == self.answered {
             // It is late, or came twice: nobody waits for this answer, and what the ledger has is another one.
-            return statement;
+            return report;
         }
-        let told = std::mem::replace(&mut self.told, statement.customers.clone());
+        let told = std::mem::replace(&mut self.told, report.customers.clone());
         let answered = std::mem::replace(&mut self.answered, message);
         if allotment.owner == Some(owner) && answered == (allotment.ledger, allotment.heard) {
-            statement.whole = false;
-            statement.customers.retain(|name, standing| told.get(name) != Some(standing));
+            report.whole = false;
+            report.customers.retain(|name, usage| told.get(name) != Some(usage));
             let gone = told.into_keys().filter(|name| !self.told.contains_key(name));
-            statement.customers.extend(gone.map(|name| (name, Standing::default())));
+            report.customers.extend(gone.map(|name| (name, CustomerUsage::default())));
         }
-        statement
+        report
     }
 
     /// Returns where all customers stand.
-    pub fn statement(
+    pub fn report(
         &self,
         owner: FencingToken,
         demand: &BTreeMap<CustomerName, Demand>,
-    ) -> Statement {
+    ) -> UsageReport {
         let limited =
             self.customers.by_name.keys().filter(|name| self.customers.quota(name).is_some());
-        let standing = |name: &CustomerName| {
+        let usage = |name: &CustomerName| {
             let demand = demand.get(name).copied().unwrap_or_default();
             let limit = self.limits.get(name).copied().unwrap_or_default();
             let quota = self.customers.quota(name).unwrap_or_default();
-            demand.standing(limit, quota)
+            demand.usage(limit, quota)
         };
-        let customers = limited.map(|name| (name.clone(), standing(name)));
-        let customers = customers.filter(|(_, standing)| *standing != Standing::default());
-        Statement { owner, whole: true, customers: customers.collect() }
+        let customers = limited.map(|name| (name.clone(), usage(name)));
+        let customers = customers.filter(|(_, usage)| *usage != CustomerUsage::default());
+        UsageReport { owner, whole: true, customers: customers.collect() }
     }
 }
 
--- a/reachhead_jobs/src/quota/ledger.rs
+++ b/reachhead_jobs/src/quota/ledger.rs
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    Allotment, Standing, Statement,
+    Allotment, CustomerUsage, UsageReport,
     share::{Claim, shares},
 };
 use crate::{
@@ -25,7 +25,7 @@
     /// What the pool may have running, however the messages that are under way are delivered.
     held: BTreeMap<CustomerName, Amount>,
     /// What its owner stated last, and in answer to which round.
-    stated: BTreeMap<CustomerName, Standing>,
+    stated: BTreeMap<CustomerName, CustomerUsage>,
     heard: u64,
     /// Since when a customer's next task there has found no room in the limit.
     short: BTreeMap<CustomerName, Tick>,
@@ -37,18 +37,19 @@
     }
 
     /// Takes in what the owner stated in answer to this round.
-    fn take(&mut self, round: u64, statement: Statement, now: Tick) {
-        self.owner = Some(statement.owner);
+    fn take(&mut self, round: u64, report: UsageReport, now: Tick) {
+        self.owner = Some(report.owner);
         self.heard = round;
-        if statement.whole {
-            self.stated = statement.customers;
+        if report.whole {
+            self.stated = report.customers;
         } else {
-            self.stated.extend(statement.customers);
+            self.stated.extend(report.customers);
         }
-        self.stated.retain(|_, standing| *standing != Standing::default());
-        let held = self.stated.iter().map(|(name, standing)| (name.clone(), standing.held()));
+        self.stated.retain(|_, usage| *usage != CustomerUsage::default());
+        let held = self.stated.iter().map(|(name, usage)| (name.clone(), usage.held()));
         self.held = held.collect();
-        let is_short = |name: &CustomerName| self.stated.get(name).is_some_and(Standing::is_short);
+        let is_short =
+            |name: &CustomerName| self.stated.get(name).is_some_and(CustomerUsage::is_short);
         self.short.retain(|name, _| is_short(name));
         for name in self.stated.keys().filter(|name| is_short(name)) {
             self.short.entry(name.clone()).or_insert(now);
@@ -130,19 +131,19 @@
         &mut self,
         pool: &PoolName,
         sent: &Allotment,
-        statement: Statement,
+        report: UsageReport,
         now: Tick,
     ) -> bool {
         let Some(book) = self.books.get_mut(pool) else {
             return false;
         };
-        let news = book.owner != Some(statement.owner);
+        let news = book.owner != Some(report.owner);
         // What answers an earlier round may be from before a later message was delivered; of a new owner everything is news.
-        let usable = if news { statement.whole } else { sent.round == self.round };
+        let usable = if news { report.whole } else { sent.round == self.round };
         if !usable {
             return false;
         }
-        book.take(sent.round, statement, now);
+        book.take(sent.round, report, now);
         if news {
             self.divided.clear();
         }
@@ -178,7 +179,7 @@
             let wanted = if alone { wanted } else { wanted.least(quota.0) };
             let raise = if alone { wanted.minus(held) } else { wanted.minus(held).least(free) };
             free = free.minus(raise);
-            let stated = book.stated.get(customer).map(|standing| standing.limit);
+            let stated = book.stated.get(customer).map(|usage| usage.limit);
             let stated = stated.unwrap_or_default().only(quota.0);
             // While more is held than a lowered quota has, no limit rises, not even to what the pool has running.
             let most = if all.fits(quota.0) || alone { held.plus(raise) } else { stated };
@@ -210,11 +211,11 @@
     fn shares(&self, customer: &CustomerName, quota: Quota, pools: &[PoolName]) -> Vec<Amount> {
         let claim = |pool: &PoolName| {
             let book = &self.books[pool];
-            let standing = book.stated.get(customer).copied().unwrap_or_default();
+            let usage = book.stated.get(customer).copied().unwrap_or_default();
             Claim {
-                used: standing.used.only(quota.0),
-                wanted: standing.wanted.only(quota.0),
-                next: standing.next.only(quota.0),
+                used: usage.used.only(quota.0),
+                wanted: usage.wanted.only(quota.0),
+                next: usage.next.only(quota.0),
                 short: book.short.get(customer).copied(),
             }
         };
--- a/reachhead_jobs/src/quota/mod.rs
+++ b/reachhead_jobs/src/quota/mod.rs
@@ -5,7 +5,7 @@
 //! no start ever brings what a customer has running above its quota.
 //!
 //! The quota is divided. One process keeps a [`Ledger`] of what it has allotted to each pool; the owner of a pool starts
-//! nothing beyond its [`Allowances`]. An allotment is raised only by what no pool holds, and counts as held until its owner
+//! nothing beyond its [`CustomerLimits`]. An allotment is raised only by what no pool holds, and counts as held until its owner
 //! has confirmed a lower one. docs/QUOTAS.md tells what holds whoever fails.
 
 mod allowance;
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::{
-    allowance::{Allowances, Demand, VOID_TIME},
+    allowance::{CustomerLimits, Demand, LIMIT_EXPIRY},
     ledger::Ledger,
 };
 
@@ -40,18 +40,18 @@
 
 /// What the owner of a pool answers to an [`Allotment`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Statement {
+pub struct UsageReport {
     /// Its token.
     pub owner: FencingToken,
     /// It is all that there is to say, and not only what changed since the statement that the ledger has.
     pub whole: bool,
     /// The customers with a quota of which the pool has anything, or had when it was last said.
-    pub customers: BTreeMap<CustomerName, Standing>,
+    pub customers: BTreeMap<CustomerName, CustomerUsage>,
 }
 
 /// Where a customer stands in a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Standing {
+pub struct CustomerUsage {
     /// What its tasks may have.
     pub limit: Amount,
     /// What its tasks have, and what tasks of which the owner does not know yet may have.
@@ -62,7 +62,7 @@
     pub next: Amount,
 }
 
-impl Standing {
+impl CustomerUsage {
     /// Returns what nobody else may be given.
     pub fn held(&self) -> Amount {
         self.limit.max(self.used)
--- a/reachhead_jobs/src/registry.rs
+++ b/reachhead_jobs/src/registry.rs
@@ -24,12 +24,12 @@
 
 /// What changed among the registered workers.
 #[derive(Debug, Clone, Default)]
-pub struct WorkerLog {
+pub struct WorkerChangeLog {
     version: u64,
     changes: VecDeque<(u64, WorkerChange)>,
 }
 
-impl WorkerLog {
+impl WorkerChangeLog {
     /// Notes a change.
     pub fn record(&mut self, change: WorkerChange) {
         self.version += 1;
--- a/reachhead_jobs/src/relay.rs
+++ b/reachhead_jobs/src/relay.rs
@@ -15,7 +15,7 @@
 
 /// A table as it was followed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TableLog {
+pub struct TableChangeLog {
     rows: BTreeMap<Key, Change>,
     changes: VecDeque<Change>,
     /// All changes after this revision are kept.
@@ -23,7 +23,7 @@
     revision: Revision,
 }
 
-impl TableLog {
+impl TableChangeLog {
     /// Returns a log that begins with a whole table.
     pub fn new(page: FeedPage) -> Self {
         let rows = page.changes.into_iter().map(|change| (change.row.key.clone(), change));
--- a/reachhead_jobs/src/wave.rs
+++ b/reachhead_jobs/src/wave.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     clock::Tick,
-    pool::{DrainMode, Vacancy},
-    ports::{Machine, MachineState},
+    pool::{DrainMode, DrainProgress},
+    ports::{PlatformHost, PlatformHostState},
 };
 
 /// Share of a wave's time after which short tasks are stopped at once, in percent. It leaves time for hosts whose orders are lost.
@@ -107,10 +107,11 @@
     }
 
     /// Returns what to do next, by the platform's list of hosts.
-    pub fn next(&mut self, machines: &BTreeMap<HostId, Machine>, now: Tick) -> WaveStep {
+    pub fn next(&mut self, machines: &BTreeMap<HostId, PlatformHost>, now: Tick) -> WaveStep {
         let mut step = WaveStep::default();
         self.down.retain(|host, since| {
-            let up = machines.get(host).is_none_or(|machine| machine.state == MachineState::Up);
+            let up =
+                machines.get(host).is_none_or(|machine| machine.state == PlatformHostState::Up);
             !up || now.since(*since) < DOWN_LEAST
         });
         let left: Vec<HostId> = self
@@ -127,10 +128,10 @@
         }
         let under = self.under_maintenance(machines);
         let room = (self.order.most as usize + AHEAD).saturating_sub(under);
-        let mut ready: Vec<&Machine> = left
+        let mut ready: Vec<&PlatformHost> = left
             .iter()
             .filter_map(|host| machines.get(host))
-            .filter(|machine| machine.state == MachineState::Up)
+            .filter(|machine| machine.state == PlatformHostState::Up)
             .collect();
         ready.sort_by_key(|machine| {
             let begun = self.emptying.get(&machine.host).copied();
@@ -144,9 +145,11 @@
     }
 
     /// Returns how many hosts are or may be down for this wave.
-    fn under_maintenance(&self, machines: &BTreeMap<HostId, Machine>) -> usize {
+    fn under_maintenance(&self, machines: &BTreeMap<HostId, PlatformHost>) -> usize {
         let listed = self.order.hosts.iter().filter(|host| {
-            machines.get(*host).is_some_and(|machine| machine.state == MachineState::Maintenance)
+            machines
+                .get(*host)
+                .is_some_and(|machine| machine.state == PlatformHostState::Maintenance)
         });
         let mut down: BTreeSet<&HostId> = listed.collect();
         down.extend(self.down.keys());
@@ -174,9 +177,13 @@
 
     /// Tells whether the host may be taken now that its worker is this empty. One with short tasks is not:
     /// an end that the worker tells in the last moment would be lost with it.
-    pub fn may_take(&self, vacancy: Vacancy, machines: &BTreeMap<HostId, Machine>) -> bool {
+    pub fn may_take(
+        &self,
+        progress: DrainProgress,
+        machines: &BTreeMap<HostId, PlatformHost>,
+    ) -> bool {
         let room = self.under_maintenance(machines) < self.order.most as usize;
-        room && matches!(vacancy, Vacancy::Empty | Vacancy::Unknown)
+        room && matches!(progress, DrainProgress::Empty | DrainProgress::Unknown)
     }
 
     /// Notes that an order for the host was sent, so it may be down from now on.
--- a/reachhead_jobs/src/worker.rs
+++ b/reachhead_jobs/src/worker.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    clock::{Reading, Tick, WorkerTime},
+    clock::{ClockSample, Tick, WorkerTime},
     crashes::Part,
     ports::WorkerInfo,
     task::{StepId, TaskId},
@@ -149,7 +149,7 @@
     /// Since when it is known.
     pub joined: Tick,
     /// The newest reading of its clock.
-    pub reading: Option<Reading>,
+    pub sample: Option<ClockSample>,
     /// The highest deadline that any order gave it.
     pub granted: WorkerTime,
     /// Its last call failed.
@@ -242,7 +242,7 @@
             silent_since: now,
             heard: now,
             joined: now,
-            reading: None,
+            sample: None,
             granted: WorkerTime(0),
             silent: false,
             deserted: false,
@@ -349,7 +349,7 @@
     /// Returns when every lease that was given here has surely lapsed; `None` before its clock was
     /// ever read, when none was given.
     pub fn lapses(&self) -> Option<Tick> {
-        self.reading.map(|reading| reading.surely_past(self.granted))
+        self.sample.map(|sample| sample.surely_past(self.granted))
     }
 
     /// Notes that it may not be there any more: it gets nothing until it answers.
--- a/reachhead_jobs/tests/authority.rs
+++ b/reachhead_jobs/tests/authority.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use reachhead_jobs::{
-    authority::{Confirmation, ORDER_TERM, Predecessor},
-    clock::{Tick, stretched},
+    authority::{LeaseConfirmation, ORDER_WINDOW, PreviousHolder},
+    clock::{Tick, with_drift},
     record::LeaseRecord,
 };
 use reachhead_property::check;
@@ -30,21 +30,21 @@
 const DUTY: Millis = Millis(3000);
 
 /// A holder that this process found when it started.
-fn found(record: &LeaseRecord) -> Predecessor<'_> {
-    Predecessor { record, since: Tick(10_000), observed: false, own: false, denied: None }
+fn found(record: &LeaseRecord) -> PreviousHolder<'_> {
+    PreviousHolder { record, since: Tick(10_000), observed: false, own: false, denied: None }
 }
 
-fn overlap(predecessor: Predecessor<'_>) -> Millis {
-    predecessor.quiet_time(Tick(50_000), DUTY, false)
+fn overlap(previous: PreviousHolder<'_>) -> Millis {
+    previous.takeover_wait(Tick(50_000), DUTY, false)
 }
 
 #[test]
 fn orders_go_out_only_on_an_answer_that_names_the_own_token() {
     let asked = BootInstant::now();
-    let mut confirmation = Confirmation::default();
+    let mut confirmation = LeaseConfirmation::default();
     assert_eq!(confirmation.until(asked), None);
     assert!(confirmation.note(asked, Some(Revision(16)), TOKEN));
-    assert_eq!(confirmation.until(asked), Some(asked + ORDER_TERM.duration()));
+    assert_eq!(confirmation.until(asked), Some(asked + ORDER_WINDOW.duration()));
     assert!(!confirmation.note(asked, Some(Revision(502)), TOKEN));
     assert_eq!(confirmation.until(asked), None);
     assert!(!confirmation.note(asked, None, TOKEN));
@@ -53,7 +53,7 @@
 #[test]
 fn a_holder_that_was_frozen_after_an_answer_has_to_ask_again() {
     let asked = BootInstant::now();
-    let mut confirmation = Confirmation::default();
+    let mut confirmation = LeaseConfirmation::default();
     confirmation.note(asked, Some(Revision(16)), TOKEN);
     assert_eq!(confirmation.until(asked + Duration::from_secs(3)), None);
 }
@@ -61,14 +61,22 @@
 #[test]
 fn a_successor_waits_unless_the_holder_has_surely_ended() {
     let (held, returned) = (lease(Some("n")), lease(None));
-    let whole = stretched(ORDER_TERM);
-    let denied = |at| Predecessor { denied: Some(Tick(at)), ..found(&held) };
+    let whole = with_drift(ORDER_WINDOW);
+    let denied = |at| PreviousHolder { denied: Some(Tick(at)), ..found(&held) };
     assert_eq!(overlap(found(&held)), whole);
     assert_eq!(overlap(found(&returned)), Millis(0), "it gave the lease back");
     assert_eq!(overlap(denied(15_000)), Millis(0), "it answers and holds nothing");
     assert_eq!(overlap(denied(10_040)), whole, "it may not have begun yet");
-    assert_eq!(overlap(Predecessor { own: true, ..found(&held) }), Millis(0), "it was restarted");
-    assert_eq!(found(&held).quiet_time(Tick(50_000), DUTY, true), Millis(0), "tokens are checked");
+    assert_eq!(
+        overlap(PreviousHolder { own: true, ..found(&held) }),
+        Millis(0),
+        "it was restarted"
+    );
+    assert_eq!(
+        found(&held).takeover_wait(Tick(50_000), DUTY, true),
+        Millis(0),
+        "tokens are checked"
+    );
 }
 
 /// All processes lose power and come back: moves of hosts must not stand still while jobs wait.
@@ -76,9 +84,13 @@
 fn a_restarted_process_does_not_wait_for_a_lease_of_unknown_age() {
     let held = lease(Some("n"));
     let soon = Tick(10_300);
-    assert_eq!(found(&held).quiet_time(soon, DUTY, true), Millis(0));
-    let observed = Predecessor { observed: true, ..found(&held) };
-    assert_eq!(observed.quiet_time(soon, DUTY, true), Millis(2700), "holders must not take turns");
+    assert_eq!(found(&held).takeover_wait(soon, DUTY, true), Millis(0));
+    let observed = PreviousHolder { observed: true, ..found(&held) };
+    assert_eq!(
+        observed.takeover_wait(soon, DUTY, true),
+        Millis(2700),
+        "holders must not take turns"
+    );
 }
 
 /// A holder that asks at any moments and a successor whose lease is stored at any moment: as the store answers in
@@ -93,7 +105,7 @@
         if read > taken {
             return true;
         }
-        let mut confirmation = Confirmation::default();
+        let mut confirmation = LeaseConfirmation::default();
         confirmation.note(at(asked), Some(Revision(16)), TOKEN);
         let begins = taken + u64::from(answer) + overlap(found(&lease(Some("n")))).0;
         (asked..asked + 3000).all(|now| {
--- a/reachhead_jobs/tests/liveness.rs
+++ b/reachhead_jobs/tests/liveness.rs
@@ -1,12 +1,12 @@
 //! Owners that the store turns away.
 
-use reachhead_jobs::liveness::StoreSight;
+use reachhead_jobs::liveness::StoreReachability;
 use reachhead_types::size::Millis;
 
 const LONG: Millis = Millis(60_000);
 
 fn blind(age: u64, failing: bool, own: Millis) -> bool {
-    StoreSight { age: Millis(age), failing }.is_blind(own)
+    StoreReachability { age: Millis(age), failing }.is_cut_off(own)
 }
 
 #[test]
--- a/reachhead_jobs/tests/membership.rs
+++ b/reachhead_jobs/tests/membership.rs
@@ -5,7 +5,9 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use reachhead_jobs::membership::{Entrant, entry_delay, seats, should_enter, should_leave};
+use reachhead_jobs::membership::{
+    MemberCandidate, join_delay, should_join, should_leave, target_members,
+};
 use reachhead_types::{
     id::NodeName,
     size::{Millis, Strength},
@@ -32,14 +34,14 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut turns: Vec<(Duration, &NodeName, Strength)> = nodes
         .iter()
-        .map(|(node, strength)| (entry_delay(*strength, rng.random()), node, *strength))
+        .map(|(node, strength)| (join_delay(*strength, rng.random()), node, *strength))
         .collect();
     turns.sort();
-    let mut entered: Vec<(Duration, Entrant<'_>)> = Vec::new();
+    let mut entered: Vec<(Duration, MemberCandidate<'_>)> = Vec::new();
     for (at, node, strength) in turns {
-        let own = Entrant { node, strength };
+        let own = MemberCandidate { node, strength };
         let known = entered.iter().filter(|(since, _)| *since + LAG.duration() <= at);
-        if should_enter(own, known.map(|(_, entrant)| *entrant), seats(POOLS)) {
+        if should_join(own, known.map(|(_, candidate)| *candidate), target_members(POOLS)) {
             entered.push((at, own));
         }
     }
@@ -59,8 +61,8 @@
         let nodes = fleet(strong, weak);
         for seed in 0..5 {
             let entered = start(&nodes, seed);
-            let most = 4 * seats(POOLS);
-            assert!(entered.len() >= seats(POOLS), "{} of {}", entered.len(), nodes.len());
+            let most = 4 * target_members(POOLS);
+            assert!(entered.len() >= target_members(POOLS), "{} of {}", entered.len(), nodes.len());
             assert!(entered.len() <= most, "{} of {}", entered.len(), nodes.len());
             let second = Duration::from_secs(1);
             let rate = entered
@@ -82,11 +84,11 @@
 #[test]
 fn a_stronger_process_enters_though_all_seats_are_taken_by_weaker_ones() {
     let names = names(40);
-    let weak = || names[1..].iter().map(|node| Entrant { node, strength: WEAK });
-    let strong = Entrant { node: &names[0], strength: STRONG };
-    assert!(should_enter(strong, weak(), seats(POOLS)));
-    let weak_one = Entrant { node: &names[0], strength: WEAK };
-    assert!(!should_enter(weak_one, weak(), seats(POOLS)));
+    let weak = || names[1..].iter().map(|node| MemberCandidate { node, strength: WEAK });
+    let strong = MemberCandidate { node: &names[0], strength: STRONG };
+    assert!(should_join(strong, weak(), target_members(POOLS)));
+    let weak_one = MemberCandidate { node: &names[0], strength: WEAK };
+    assert!(!should_join(weak_one, weak(), target_members(POOLS)));
 }
 
 /// Those that are too many leave one after the other, and enough stay.
@@ -97,10 +99,10 @@
         names.iter().map(|node| (node, WEAK)).collect();
     for node in &names {
         let others = members.iter().filter(|(other, _)| **other != node);
-        let others = others.map(|(node, strength)| Entrant { node, strength: *strength });
-        if should_leave(Entrant { node, strength: WEAK }, others, seats(POOLS)) {
+        let others = others.map(|(node, strength)| MemberCandidate { node, strength: *strength });
+        if should_leave(MemberCandidate { node, strength: WEAK }, others, target_members(POOLS)) {
             members.remove(node);
         }
     }
-    assert_eq!(members.len(), 4 * seats(POOLS));
+    assert_eq!(members.len(), 4 * target_members(POOLS));
 }
--- a/reachhead_jobs/tests/pool/balance.rs
+++ b/reachhead_jobs/tests/pool/balance.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reachhead_jobs::{
-    balance::{Balance, ClockReading, Move, PoolState},
+    balance::{Balance, ClockPair, Move, PoolState},
     clock::Tick,
     pool::{PoolLoad, WorkerLoad},
-    ports::{Machine, MachineState},
+    ports::{PlatformHost, PlatformHostState},
 };
 use reachhead_types::{
     id::{HostId, PoolName, WorkerId, ZoneName},
@@ -27,7 +27,7 @@
 
 #[derive(Default)]
 struct Fleet {
-    machines: BTreeMap<HostId, Machine>,
+    machines: BTreeMap<HostId, PlatformHost>,
     pools: BTreeMap<PoolName, PoolState>,
     balance: Balance,
     drained: BTreeSet<ZoneName>,
@@ -45,9 +45,10 @@
             let worker = format!("w-{name}-{number}").parse().unwrap();
             load.workers.push(idle_worker(worker));
             let worker = Some(load.workers[number].worker.clone());
-            let state = MachineState::Up;
+            let state = PlatformHostState::Up;
             let zone = Some(zone(number));
-            let machine = Machine { host: host.clone(), pool: pool.clone(), zone, state, worker };
+            let machine =
+                PlatformHost { host: host.clone(), pool: pool.clone(), zone, state, worker };
             self.machines.insert(host, machine);
         }
         self.pools.insert(pool, PoolState { load, spare: name == "off" });
@@ -61,7 +62,7 @@
     /// Operators drain a zone, and all owners know it.
     fn drain(&mut self, name: &str) {
         let drained: ZoneName = name.parse().unwrap();
-        let of_zone = |machine: &&Machine| machine.zone.as_ref() == Some(&drained);
+        let of_zone = |machine: &&PlatformHost| machine.zone.as_ref() == Some(&drained);
         let workers: BTreeSet<_> = self
             .machines
             .values()
@@ -334,12 +335,12 @@
         worker.used = CORES;
     }
     fleet.round(1000);
-    let before = ClockReading { now: fleet.now, wall: Millis(50_000_000) };
+    let before = ClockPair { now: fleet.now, wall: Millis(50_000_000) };
     let record = serde_json::to_string(&fleet.balance.record(before)).unwrap();
     fleet.balance = Balance::new();
     // The successor's clock is another one, and four seconds have passed.
     fleet.now = Tick(7_000_000);
-    let after = ClockReading { now: fleet.now, wall: Millis(50_004_000) };
+    let after = ClockPair { now: fleet.now, wall: Millis(50_004_000) };
     fleet.balance.restore(&serde_json::from_str(&record).unwrap(), after);
     fleet.load("a").need = 0;
     fleet.load("a").begun = false;
--- a/reachhead_jobs/tests/pool/candidate.rs
+++ b/reachhead_jobs/tests/pool/candidate.rs
@@ -1,6 +1,6 @@
 //! Who takes a pool, and when one is handed over.
 
-use reachhead_jobs::candidate::{Candidate, before, delay};
+use reachhead_jobs::candidate::{Candidate, count_preferred, delay};
 use reachhead_types::{
     id::{NodeName, PoolName},
     size::{Millis, Strength},
@@ -20,7 +20,7 @@
     let pool: PoolName = "p".parse().unwrap();
     let weak = || names[1..].iter().map(|node| candidate(node, 800, 0));
     let strong = candidate(&names[0], 3300, 2);
-    assert_eq!(before(&pool, &strong, weak()), 0);
+    assert_eq!(count_preferred(&pool, &strong, weak()), 0);
     for other in weak() {
         assert!(strong.precedes(&other, &pool));
         assert!(!other.precedes(&strong, &pool));
@@ -63,7 +63,7 @@
     for number in 0..20 {
         let pool: PoolName = format!("p{number}").parse().unwrap();
         let rank = |own: &Candidate<'_>| {
-            before(&pool, own, all.iter().filter(|other| *other != own).copied())
+            count_preferred(&pool, own, all.iter().filter(|other| *other != own).copied())
         };
         let mut ranks: Vec<usize> = all.iter().map(rank).collect();
         firsts.insert(ranks.iter().position(|rank| *rank == 0));
--- a/reachhead_jobs/tests/pool/crash.rs
+++ b/reachhead_jobs/tests/pool/crash.rs
@@ -5,7 +5,7 @@
 use reachhead_jobs::{
     clock::Tick,
     model::Step,
-    pool::{JobState, NoteKind, StoredProgress, WorkerEnd},
+    pool::{DeathEvidence, JobState, NoteKind, StoredProgress},
     ports::{RunEnd, StartOrder},
     record::Ending,
     task::TaskId,
@@ -143,7 +143,7 @@
             if crash.over <= now && crash.back.is_none() {
                 crash.back = Some(now + AWAY_TIME);
                 self.fixture.infos.retain(|info| info.id != crash.worker);
-                self.fixture.pool.worker_over(&crash.worker, WorkerEnd::Unhosted, now);
+                self.fixture.pool.worker_died(&crash.worker, DeathEvidence::Unhosted, now);
                 self.fixture.list();
             }
             if crash.back.is_some_and(|back| back <= now) {
@@ -179,7 +179,7 @@
     fixture.begin(2, vec![step(1)]);
     fixture.pass(10);
     fixture.pool.take_notes();
-    fixture.pool.worker_over(&worker("w"), WorkerEnd::Unhosted, fixture.now);
+    fixture.pool.worker_died(&worker("w"), DeathEvidence::Unhosted, fixture.now);
     let notes = fixture.pool.take_notes();
     let crash = notes.iter().find(|note| note.kind == NoteKind::WorkerCrashed).unwrap();
     let fresh = format!("worker=w runs=2 heard=10ms fresh=1 tasks={}@0ms", task(2, 0, 0));
@@ -269,7 +269,7 @@
     let mut fixture = Fixture::ready(vec![info("w", 4), info("v", 4)]);
     fixture.begin(1, vec![step(1)]);
     let first = fixture.running.keys().next().unwrap().clone();
-    fixture.pool.worker_over(&first, WorkerEnd::Unhosted, fixture.now);
+    fixture.pool.worker_died(&first, DeathEvidence::Unhosted, fixture.now);
     fixture.pass(100);
     assert!(fixture.starts().is_empty(), "its crash is not recorded");
     assert!(fixture.pool.due().iter().all(|due| due.urgent), "it waits for that");
@@ -284,7 +284,7 @@
     for _ in 0..2 {
         let id = fixture.running.keys().next().unwrap().clone();
         fixture.running.remove(&id);
-        fixture.pool.worker_over(&id, WorkerEnd::Unhosted, fixture.now);
+        fixture.pool.worker_died(&id, DeathEvidence::Unhosted, fixture.now);
         fixture.flush();
         for (id, order) in fixture.starts() {
             fixture.accept(&id, &order);
@@ -298,7 +298,7 @@
     successor.flush();
     successor.report(&worker("t"));
     let (id, _) = successor.starts().remove(0);
-    successor.pool.worker_over(&id, WorkerEnd::Unhosted, successor.now);
+    successor.pool.worker_died(&id, DeathEvidence::Unhosted, successor.now);
     successor.flush();
     assert_eq!(successor.pool.state(JobId(1)), Some(JobState::Over(Ending::Failed)));
 }
@@ -312,7 +312,7 @@
     fixture.pass(300);
     fixture.runs(&first, task(1, 0, 0), 1, 30);
     fixture.report(&first);
-    fixture.pool.worker_over(&first, WorkerEnd::Unhosted, fixture.now);
+    fixture.pool.worker_died(&first, DeathEvidence::Unhosted, fixture.now);
     let started = fixture.starts();
     assert_eq!(started.len(), 1);
     assert_eq!(fixture.pool.workers()[&started[0].0].trial, None);
@@ -324,7 +324,7 @@
     let mut fixture = Fixture::ready(vec![info("w", 4), info("v", 4)]);
     fixture.begin(1, vec![Step { estimate: Millis(36_000_000), ..step(1) }]);
     let first = fixture.running.keys().next().unwrap().clone();
-    fixture.pool.worker_over(&first, WorkerEnd::Unhosted, fixture.now);
+    fixture.pool.worker_died(&first, DeathEvidence::Unhosted, fixture.now);
     fixture.running.remove(&first);
     fixture.flush();
     for (id, order) in fixture.starts() {
@@ -347,7 +347,7 @@
     fixture.begin(1, vec![Step { gang: true, ..step(2) }]);
     let used: Vec<WorkerId> = fixture.running.keys().cloned().collect();
     for id in used {
-        fixture.pool.worker_over(&id, WorkerEnd::Unhosted, fixture.now);
+        fixture.pool.worker_died(&id, DeathEvidence::Unhosted, fixture.now);
     }
     assert!(fixture.starts().is_empty(), "its crashes are not recorded");
     fixture.flush();
--- a/reachhead_jobs/tests/pool/drain.rs
+++ b/reachhead_jobs/tests/pool/drain.rs
@@ -4,12 +4,12 @@
 
 use reachhead_jobs::{
     model::Step,
-    pool::Inheritance,
+    pool::RecoveredState,
     ports::{RunEnd, WorkerError, WorkerInfo},
 };
 use reachhead_types::id::ZoneName;
 
-use crate::fixture::{Fixture, fences, info, step, task, tuning, worker};
+use crate::fixture::{Fixture, fences, info, step, task, timeouts, worker};
 
 /// How often the fixture's owner is told what operators want.
 const FOLLOW_TIME: u64 = 1000;
@@ -107,7 +107,7 @@
 fn an_owner_that_does_not_know_what_is_drained_starts_nothing() {
     let mut fixture = site();
     drain(&mut fixture, &[]);
-    fixture.pass(tuning().drain.0);
+    fixture.pass(timeouts().drain.0);
     fixture.begin(1, vec![step(1)]);
     assert_eq!(fixture.running.values().flatten().count(), 1);
     fixture.pass(1);
@@ -135,7 +135,7 @@
 #[test]
 fn a_worker_that_only_the_roster_names_gets_nothing() {
     let found =
-        Inheritance { fences: fences(), ..crate::fixture::left(vec![], vec![("a1", None)]) };
+        RecoveredState { fences: fences(), ..crate::fixture::left(vec![], vec![("a1", None)]) };
     let mut fixture = Fixture::new(found, vec![]);
     drain(&mut fixture, &["a"]);
     fixture.report(&worker("a1"));
--- a/reachhead_jobs/tests/pool/fixture.rs
+++ b/reachhead_jobs/tests/pool/fixture.rs
@@ -5,7 +5,9 @@
 use reachhead_jobs::{
     clock::{Tick, WorkerTime},
     model::{Plan, Queue, Step},
-    pool::{Action, Batch, Inheritance, Pool, StoredJob, StoredRoster, StoredWorker, Tuning},
+    pool::{
+        Action, Batch, Pool, PoolTimeouts, RecoveredState, StoredJob, StoredRoster, StoredWorker,
+    },
     ports::{EndedEntry, RunEnd, RunningEntry, StartOrder, WorkerError, WorkerInfo, WorkerReport},
     record::{JobRecord, RosterEntry},
     shard::Shard,
@@ -32,8 +34,8 @@
     name.parse().unwrap()
 }
 
-pub fn tuning() -> Tuning {
-    Tuning {
+pub fn timeouts() -> PoolTimeouts {
+    PoolTimeouts {
         hold: Millis(4000),
         trust: Millis(4000),
         wait: Millis(1000),
@@ -88,7 +90,7 @@
 }
 
 /// Returns what a predecessor left: jobs by the revisions of their rows, and its roster.
-pub fn left(jobs: Vec<(u64, Vec<Step>)>, roster: Vec<(&str, Option<u64>)>) -> Inheritance {
+pub fn left(jobs: Vec<(u64, Vec<Step>)>, roster: Vec<(&str, Option<u64>)>) -> RecoveredState {
     let stored = |(id, steps)| StoredJob {
         id: JobId(id),
         record: record(steps, 0),
@@ -103,7 +105,7 @@
         };
         (worker(name), StoredWorker { entry: Some(entry), revision: Some(Revision(1)) })
     };
-    Inheritance {
+    RecoveredState {
         jobs: jobs.into_iter().map(stored).collect(),
         roster: StoredRoster {
             workers: roster.into_iter().map(stored_worker).collect(),
@@ -111,7 +113,7 @@
         },
         fences: fences(),
         verified: START,
-        effect: tuning().inheritance(),
+        effect: timeouts().takeover_delay(),
     }
 }
 
@@ -131,9 +133,10 @@
 }
 
 impl Fixture {
-    pub fn new(found: Inheritance, infos: Vec<WorkerInfo>) -> Self {
+    pub fn new(found: RecoveredState, infos: Vec<WorkerInfo>) -> Self {
         let now = START;
-        let pool = Pool::new(pool_name(), FencingToken(7), 0, tuning(), found, now, Millis(now.0));
+        let pool =
+            Pool::new(pool_name(), FencingToken(7), 0, timeouts(), found, now, Millis(now.0));
         let mut fixture = Self {
             pool,
             now,
@@ -150,7 +153,7 @@
     pub fn ready(infos: Vec<WorkerInfo>) -> Self {
         let names: Vec<WorkerId> = infos.iter().map(|info| info.id.clone()).collect();
         let mut fixture = Self::new(
-            Inheritance { fences: fences(), verified: START, ..Inheritance::default() },
+            RecoveredState { fences: fences(), verified: START, ..RecoveredState::default() },
             infos,
         );
         fixture.pool.poll(fixture.now, Millis(fixture.now.0));
--- a/reachhead_jobs/tests/pool/inherit.rs
+++ b/reachhead_jobs/tests/pool/inherit.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use reachhead_jobs::{
-    lives::{self, Deserted},
+    dead_workers::{self, UnreachableWorker},
     model::Step,
-    pool::WorkerEnd,
-    ports::{Machine, MachineState, RunEnd},
+    pool::DeathEvidence,
+    ports::{PlatformHost, PlatformHostState, RunEnd},
     record::{LeaseRecord, roster_key},
 };
 use reachhead_types::{
@@ -14,7 +14,7 @@
     size::{Millis, Revision},
 };
 
-use crate::fixture::{Fixture, info, left, pool_name, step, task, tuning, worker};
+use crate::fixture::{Fixture, info, left, pool_name, step, task, timeouts, worker};
 
 #[test]
 fn a_run_that_a_worker_reports_is_taken_over_and_not_started_again() {
@@ -96,7 +96,7 @@
         crate::fixture::pool_name(),
         reachhead_types::size::FencingToken(9),
         1,
-        crate::fixture::tuning(),
+        crate::fixture::timeouts(),
         left(vec![(1, vec![step(1)])], vec![]),
         next.now,
         reachhead_types::size::Millis(next.now.0),
@@ -177,25 +177,30 @@
     assert!(fixture.pool.load(fixture.now).deserted.is_empty(), "silence alone proves nothing");
     fixture.desert(&worker("v"));
     assert!(fixture.starts().is_empty(), "it may run there until the platform says otherwise");
-    let told: Vec<Deserted> = fixture
+    let told: Vec<UnreachableWorker> = fixture
         .pool
         .load(fixture.now)
         .deserted
         .into_iter()
-        .map(|worker| Deserted { pool: pool_name(), worker })
+        .map(|worker| UnreachableWorker { pool: pool_name(), worker })
         .collect();
-    let host = |id: &str| Machine {
+    let host = |id: &str| PlatformHost {
         host: "m".parse().unwrap(),
         pool: pool_name(),
         zone: None,
-        state: MachineState::Up,
+        state: PlatformHostState::Up,
         worker: Some(worker(id)),
     };
     let machines = |id: &str| BTreeMap::from([("m".parse().unwrap(), host(id))]);
-    assert_eq!(lives::ended(&told, &machines("v")).count(), 0, "its host still has it");
-    let over: Vec<&Deserted> = lives::ended(&told, &machines("another")).collect();
+    assert_eq!(
+        dead_workers::dead_workers(&told, &machines("v")).count(),
+        0,
+        "its host still has it"
+    );
+    let over: Vec<&UnreachableWorker> =
+        dead_workers::dead_workers(&told, &machines("another")).collect();
     assert_eq!(over.len(), 1);
-    fixture.pool.worker_over(&over[0].worker, WorkerEnd::Unhosted, fixture.now);
+    fixture.pool.worker_died(&over[0].worker, DeathEvidence::Unhosted, fixture.now);
     assert_eq!(fixture.starts().len(), 1);
 }
 
@@ -225,16 +230,16 @@
     let open = fixture.pool.open_time(fixture.now);
     assert_eq!(open, Millis(whole.0 - 3000));
     let record = |settled, open| LeaseRecord { owner: None, address: None, term: 1, settled, open };
-    assert_eq!(tuning().after_release(&record(false, Some(open))), open);
-    let leases = tuning().after_release(&record(true, Some(Millis(0))));
+    assert_eq!(timeouts().after_release(&record(false, Some(open))), open);
+    let leases = timeouts().after_release(&record(true, Some(Millis(0))));
     assert!(leases < open);
     assert_eq!(
-        tuning().after_release(&record(false, Some(Millis(10)))),
+        timeouts().after_release(&record(false, Some(Millis(10)))),
         leases,
         "its own orders count"
     );
     assert_eq!(
-        tuning().after_release(&record(false, None)),
+        timeouts().after_release(&record(false, None)),
         whole,
         "an earlier release does not say"
     );
--- a/reachhead_jobs/tests/pool/life.rs
+++ b/reachhead_jobs/tests/pool/life.rs
@@ -14,7 +14,7 @@
     size::{Millis, Revision},
 };
 
-use crate::fixture::{Fixture, info, record, step, task, tuning, worker};
+use crate::fixture::{Fixture, info, record, step, task, timeouts, worker};
 
 #[test]
 fn a_job_runs_its_steps_in_order_and_is_told_as_completed_once_that_is_stored() {
@@ -438,10 +438,10 @@
 #[test]
 fn a_poll_of_a_worker_with_short_tasks_waits_so_briefly_that_a_lost_answer_holds_nobody_up() {
     let mut fixture = Fixture::ready(vec![info("w1", 4)]);
-    assert_eq!(poll_wait(&mut fixture), Some(tuning().wait));
+    assert_eq!(poll_wait(&mut fixture), Some(timeouts().wait));
     fixture.begin(1, vec![Step { long_running: true, ..step(1) }]);
     fixture.report(&worker("w1"));
-    assert_eq!(poll_wait(&mut fixture), Some(tuning().wait), "what runs on ends seldom");
+    assert_eq!(poll_wait(&mut fixture), Some(timeouts().wait), "what runs on ends seldom");
     fixture.begin(2, vec![step(1)]);
     fixture.report(&worker("w1"));
     assert!(poll_wait(&mut fixture) <= Some(Millis(200)), "its job's next step waits for its end");
--- a/reachhead_jobs/tests/pool/quota.rs
+++ b/reachhead_jobs/tests/pool/quota.rs
@@ -6,7 +6,7 @@
     customer::{Customer, Customers, Quota},
     model::Step,
     ports::RunEnd,
-    quota::{Allotment, Statement},
+    quota::{Allotment, UsageReport},
     record::JobRecord,
     task::TaskId,
 };
@@ -30,7 +30,7 @@
 /// What the fixture's owner has as its token.
 const OWNER: FencingToken = FencingToken(7);
 
-fn allot(fixture: &mut Fixture, round: u64, cores: u64) -> Statement {
+fn allot(fixture: &mut Fixture, round: u64, cores: u64) -> UsageReport {
     let limits = BTreeMap::from([(one(), Amount::new(cores * 1000, 0, 0))]);
     let message =
         Allotment { ledger: FencingToken(1), round, owner: Some(OWNER), limits, heard: 0 };
@@ -96,12 +96,12 @@
     allot(&mut fixture, 1, 8);
     submit(&mut fixture, 1, Some(one()), vec![step(4)]);
     assert_eq!(start_all(&mut fixture).len(), 4);
-    let statement = allot(&mut fixture, 2, 2);
-    assert_eq!(statement.customers[&one()].held().cores, 4000, "what runs is held");
+    let report = allot(&mut fixture, 2, 2);
+    assert_eq!(report.customers[&one()].held().cores, 4000, "what runs is held");
     submit(&mut fixture, 2, Some(one()), vec![step(4)]);
     assert_eq!(start_all(&mut fixture), []);
-    let statement = allot(&mut fixture, 3, 2);
-    assert_eq!(statement.customers[&one()].next.cores, 1000, "the ledger is told what waits");
+    let report = allot(&mut fixture, 3, 2);
+    assert_eq!(report.customers[&one()].next.cores, 1000, "the ledger is told what waits");
 }
 
 #[test]
@@ -160,15 +160,15 @@
     let mut fixture = Fixture::new(found, vec![info("w1", 2), info("w2", 2)]);
     fixture.pool.configure(&customers(8));
     fixture.poll();
-    let statement = allot(&mut fixture, 1, 0);
-    assert_eq!(statement.customers[&one()].held().cores, 4000, "no more than the two can bear");
+    let report = allot(&mut fixture, 1, 0);
+    assert_eq!(report.customers[&one()].held().cores, 4000, "no more than the two can bear");
     fixture.runs(&worker("w1"), task(1, 0, 0), 1, 10);
     fixture.report(&worker("w1"));
-    let statement = allot(&mut fixture, 2, 0);
-    assert_eq!(statement.customers[&one()].held().cores, 3000, "one runs, two may on the other");
+    let report = allot(&mut fixture, 2, 0);
+    assert_eq!(report.customers[&one()].held().cores, 3000, "one runs, two may on the other");
     fixture.report(&worker("w2"));
-    let statement = allot(&mut fixture, 3, 0);
-    assert_eq!(statement.customers[&one()].held().cores, 1000);
+    let report = allot(&mut fixture, 3, 0);
+    assert_eq!(report.customers[&one()].held().cores, 1000);
 }
 
 #[test]
--- a/reachhead_jobs/tests/pool/rebirth.rs
+++ b/reachhead_jobs/tests/pool/rebirth.rs
@@ -151,7 +151,7 @@
     assert!(fixture.stops().is_empty());
     let known = &fixture.pool.workers()[&worker("w")];
     assert_eq!(known.runs.len(), 1);
-    assert!(known.reading.unwrap().shown < WorkerTime(9_000_000));
+    assert!(known.sample.unwrap().shown < WorkerTime(9_000_000));
 }
 
 /// The platform's list told of the new life first: nothing is started there before it has answered, and a list that is behind
--- a/reachhead_jobs/tests/pool/roster.rs
+++ b/reachhead_jobs/tests/pool/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use reachhead_jobs::{
-    pool::{Batch, Inheritance, StoredRoster},
+    pool::{Batch, RecoveredState, StoredRoster},
     record::{Roster, RosterEntry, roster_key, value, whole_roster_key},
 };
 use reachhead_store::row::{Commit, Conflict, Key, Row};
@@ -59,7 +59,7 @@
 #[test]
 fn a_roster_of_thousands_is_written_and_read_and_a_change_writes_what_changed() {
     let infos = many().iter().map(|name| info(name, 4)).collect();
-    let found = Inheritance { fences: fences(), ..left(vec![], vec![]) };
+    let found = RecoveredState { fences: fences(), ..left(vec![], vec![]) };
     let mut fixture = Fixture::new(found, infos);
     let (mut rows, mut revision) = (BTreeMap::new(), 10);
     write_all(&mut fixture, &mut rows, &mut revision);
@@ -93,7 +93,7 @@
     let (roster, errors) = StoredRoster::read(&rows_of(&rows));
     assert!(errors.is_empty());
     assert_eq!(roster.workers[&worker("b")].entry, Some(entry("b", Some(9))));
-    let found = Inheritance { roster, ..left(vec![(1, vec![step(1)])], vec![]) };
+    let found = RecoveredState { roster, ..left(vec![(1, vec![step(1)])], vec![]) };
     let mut fixture = Fixture::new(found, vec![info("a", 4), info("b", 4)]);
     assert_eq!(fixture.pool.unsettled(), 2);
     let mut revision = 10;
@@ -114,7 +114,7 @@
     ];
     let (roster, errors) = StoredRoster::read(&rows);
     assert_eq!(errors.len(), 1);
-    let found = Inheritance { roster, ..left(vec![(1, vec![step(1)])], vec![]) };
+    let found = RecoveredState { roster, ..left(vec![(1, vec![step(1)])], vec![]) };
     let mut fixture = Fixture::new(found, vec![info("a", 4)]);
     fixture.poll();
     fixture.report(&worker("a"));
@@ -130,7 +130,7 @@
 #[test]
 fn a_roster_goes_on_after_a_lost_answer() {
     let mut fixture = Fixture::new(
-        Inheritance { fences: fences(), ..left(vec![], vec![]) },
+        RecoveredState { fences: fences(), ..left(vec![], vec![]) },
         vec![info("a", 4), info("b", 4)],
     );
     fixture.poll();
--- a/reachhead_jobs/tests/pool/vacate.rs
+++ b/reachhead_jobs/tests/pool/vacate.rs
@@ -2,7 +2,7 @@
 
 use reachhead_jobs::{
     model::Step,
-    pool::{DrainMode, Vacancy, WorkerEnd},
+    pool::{DeathEvidence, DrainMode, DrainProgress},
     ports::RunEnd,
 };
 use reachhead_types::id::WorkerId;
@@ -31,8 +31,14 @@
 #[test]
 fn one_task_of_a_step_is_taken_away_at_a_time() {
     let (mut fixture, used) = at_work();
-    assert_eq!(fixture.pool.vacate(&used[0], DrainMode::Graceful, fixture.now), Vacancy::Protected);
-    assert_eq!(fixture.pool.vacate(&used[1], DrainMode::Graceful, fixture.now), Vacancy::Protected);
+    assert_eq!(
+        fixture.pool.drain_worker(&used[0], DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected
+    );
+    assert_eq!(
+        fixture.pool.drain_worker(&used[1], DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected
+    );
     let stops = fixture.stops();
     assert_eq!(stops.len(), 1, "{stops:?}");
     assert_eq!(stops[0].0, used[0]);
@@ -42,7 +48,7 @@
 fn a_task_on_a_silent_worker_counts_as_away() {
     let (mut fixture, used) = at_work();
     fixture.miss(&used[1]);
-    fixture.pool.vacate(&used[0], DrainMode::Graceful, fixture.now);
+    fixture.pool.drain_worker(&used[0], DrainMode::Graceful, fixture.now);
     assert!(fixture.stops().is_empty());
 }
 
@@ -53,12 +59,12 @@
     fixture.poll();
     fixture.flush();
     assert_eq!(
-        fixture.pool.vacate(&worker("a"), DrainMode::Graceful, fixture.now),
-        Vacancy::Protected
+        fixture.pool.drain_worker(&worker("a"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected
     );
     assert_eq!(
-        fixture.pool.vacate(&worker("unknown"), DrainMode::Graceful, fixture.now),
-        Vacancy::Protected
+        fixture.pool.drain_worker(&worker("unknown"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected
     );
 }
 
@@ -74,16 +80,16 @@
     }
     fixture.report(&worker("c"));
     fixture.poll();
-    fixture.pool.vacate(&worker("a"), DrainMode::Graceful, fixture.now);
+    fixture.pool.drain_worker(&worker("a"), DrainMode::Graceful, fixture.now);
     assert!(
         fixture.stops().is_empty(),
         "the other task may be stopping by the predecessor's order"
     );
     fixture.pass(1000);
-    fixture.pool.vacate(&worker("a"), DrainMode::Graceful, fixture.now);
+    fixture.pool.drain_worker(&worker("a"), DrainMode::Graceful, fixture.now);
     assert!(fixture.stops().is_empty(), "the other was last heard of before the stops were over");
     fixture.report(&worker("b"));
-    fixture.pool.vacate(&worker("a"), DrainMode::Graceful, fixture.now);
+    fixture.pool.drain_worker(&worker("a"), DrainMode::Graceful, fixture.now);
     assert_eq!(fixture.stops().len(), 1);
 }
 
@@ -98,8 +104,8 @@
     }
     fixture.pass(2000);
     assert_eq!(
-        fixture.pool.vacate(&worker("a"), DrainMode::Graceful, fixture.now),
-        Vacancy::Protected
+        fixture.pool.drain_worker(&worker("a"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected
     );
     assert!(fixture.stops().is_empty());
     assert_eq!(fixture.pool.load(fixture.now).extra, 1, "one more host is asked for");
@@ -116,7 +122,7 @@
     }
     fixture.pass(2000);
     for name in ["a", "b", "c"] {
-        fixture.pool.vacate(&worker(name), DrainMode::Graceful, fixture.now);
+        fixture.pool.drain_worker(&worker(name), DrainMode::Graceful, fixture.now);
     }
     assert_eq!(fixture.pool.load(fixture.now).extra, 1);
     let (id, task) = fixture.stops().remove(0);
@@ -132,8 +138,8 @@
     fixture.pass(1000);
     fixture.poll();
     assert_eq!(
-        fixture.pool.vacate(&worker("b"), DrainMode::Graceful, fixture.now),
-        Vacancy::Unknown
+        fixture.pool.drain_worker(&worker("b"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Unknown
     );
     fixture.infos = vec![info("b", 8)];
     fixture.list();
@@ -150,7 +156,10 @@
     fixture.poll();
     fixture.pass(1000);
     fixture.poll();
-    assert_eq!(fixture.pool.vacate(&worker("a"), DrainMode::Graceful, fixture.now), Vacancy::Empty);
+    assert_eq!(
+        fixture.pool.drain_worker(&worker("a"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Empty
+    );
     fixture.submit(1, vec![step(1)]);
     assert!(fixture.starts().is_empty());
     fixture.pass(3000);
@@ -171,12 +180,15 @@
     fixture.end(&id, reachhead_jobs::task::TaskId { index: 1, ..order.task }, 1, RunEnd::Stopped);
     fixture.report(&id);
     assert_eq!(
-        fixture.pool.vacate(&id, DrainMode::Graceful, fixture.now),
-        Vacancy::Protected,
+        fixture.pool.drain_worker(&id, DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected,
         "only the worker knows the end"
     );
     fixture.flush();
-    assert_eq!(fixture.pool.vacate(&id, DrainMode::Graceful, fixture.now), Vacancy::Empty);
+    assert_eq!(
+        fixture.pool.drain_worker(&id, DrainMode::Graceful, fixture.now),
+        DrainProgress::Empty
+    );
 }
 
 #[test]
@@ -187,17 +199,29 @@
     let id = worker("a");
     fixture.pass(1000);
     fixture.poll();
-    assert_eq!(fixture.pool.vacate(&id, DrainMode::Graceful, fixture.now), Vacancy::Short);
+    assert_eq!(
+        fixture.pool.drain_worker(&id, DrainMode::Graceful, fixture.now),
+        DrainProgress::Short
+    );
     assert!(fixture.stops().is_empty());
-    assert_eq!(fixture.pool.vacate(&id, DrainMode::Forced, fixture.now), Vacancy::Short);
+    assert_eq!(
+        fixture.pool.drain_worker(&id, DrainMode::Forced, fixture.now),
+        DrainProgress::Short
+    );
     assert_eq!(fixture.stops().len(), 2);
     // One ends as done before the order arrives.
     fixture.end(&id, task(1, 0, 0), 1, RunEnd::Done);
     fixture.end(&id, task(1, 0, 1), 1, RunEnd::Stopped);
     fixture.report(&id);
-    assert_eq!(fixture.pool.vacate(&id, DrainMode::Forced, fixture.now), Vacancy::Protected);
+    assert_eq!(
+        fixture.pool.drain_worker(&id, DrainMode::Forced, fixture.now),
+        DrainProgress::Protected
+    );
     fixture.flush();
-    assert_eq!(fixture.pool.vacate(&id, DrainMode::Forced, fixture.now), Vacancy::Empty);
+    assert_eq!(
+        fixture.pool.drain_worker(&id, DrainMode::Forced, fixture.now),
+        DrainProgress::Empty
+    );
 }
 
 #[test]
@@ -208,7 +232,7 @@
     fixture.accept(&id, &order);
     fixture.end(&id, order.task, 1, RunEnd::Done);
     // The worker told the end in an answer that is still under way.
-    fixture.pool.worker_over(&id, WorkerEnd::Unhosted, fixture.now);
+    fixture.pool.worker_died(&id, DeathEvidence::Unhosted, fixture.now);
     fixture.report(&id);
     assert!(fixture.starts().is_empty(), "the task is done");
     fixture.flush();
@@ -225,13 +249,16 @@
     fixture.runs(&worker("b"), task(1, 0, 0), 1, 100);
     fixture.report(&worker("a"));
     fixture.report(&worker("b"));
-    assert_eq!(fixture.pool.vacate(&worker("a"), DrainMode::Graceful, fixture.now), Vacancy::Empty);
     assert_eq!(
-        fixture.pool.vacate(&worker("b"), DrainMode::Graceful, fixture.now),
-        Vacancy::Protected
+        fixture.pool.drain_worker(&worker("a"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Empty
+    );
+    assert_eq!(
+        fixture.pool.drain_worker(&worker("b"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected
     );
     assert_eq!(
-        fixture.pool.vacate(&worker("c"), DrainMode::Graceful, fixture.now),
-        Vacancy::Protected
+        fixture.pool.drain_worker(&worker("c"), DrainMode::Graceful, fixture.now),
+        DrainProgress::Protected
     );
 }
--- a/reachhead_jobs/tests/pool/wave.rs
+++ b/reachhead_jobs/tests/pool/wave.rs
@@ -4,16 +4,16 @@
 
 use reachhead_jobs::{
     clock::Tick,
-    pool::{DrainMode, Vacancy},
-    ports::{Machine, MachineState},
+    pool::{DrainMode, DrainProgress},
+    ports::{PlatformHost, PlatformHostState},
     wave::{Wave, WaveOrder, WaveRecord},
 };
 use reachhead_types::{id::HostId, size::Millis};
 
-fn hosts(states: &[MachineState]) -> BTreeMap<HostId, Machine> {
-    let machine = |(number, state): (usize, &MachineState)| {
+fn hosts(states: &[PlatformHostState]) -> BTreeMap<HostId, PlatformHost> {
+    let machine = |(number, state): (usize, &PlatformHostState)| {
         let host: HostId = format!("m-{number}").parse().unwrap();
-        let machine = Machine {
+        let machine = PlatformHost {
             host: host.clone(),
             pool: "p".parse().unwrap(),
             zone: None,
@@ -25,7 +25,7 @@
     states.iter().enumerate().map(machine).collect()
 }
 
-fn wave(machines: &BTreeMap<HostId, Machine>, most: u32) -> Wave {
+fn wave(machines: &BTreeMap<HostId, PlatformHost>, most: u32) -> Wave {
     let order = WaveOrder {
         name: "1".parse().unwrap(),
         hosts: machines.keys().cloned().collect(),
@@ -37,12 +37,12 @@
 
 #[test]
 fn no_more_hosts_are_down_than_the_wave_permits() {
-    let machines = hosts(&[MachineState::Up; 4]);
+    let machines = hosts(&[PlatformHostState::Up; 4]);
     let mut wave = wave(&machines, 2);
     let step = wave.next(&machines, Tick(0));
     let mut taken = 0;
     for host in &step.vacate {
-        if wave.may_take(Vacancy::Empty, &machines) {
+        if wave.may_take(DrainProgress::Empty, &machines) {
             wave.ordered(host, Tick(0));
             taken += 1;
         }
@@ -52,27 +52,27 @@
 
 #[test]
 fn a_host_that_the_list_shows_down_counts_whoever_ordered_it() {
-    let machines = hosts(&[MachineState::Maintenance, MachineState::Up]);
+    let machines = hosts(&[PlatformHostState::Maintenance, PlatformHostState::Up]);
     let wave = wave(&machines, 1);
-    assert!(!wave.may_take(Vacancy::Empty, &machines));
+    assert!(!wave.may_take(DrainProgress::Empty, &machines));
 }
 
 #[test]
 fn short_tasks_hold_a_host_up_until_they_are_stopped_and_protected_ones_for_good() {
-    let machines = hosts(&[MachineState::Up]);
+    let machines = hosts(&[PlatformHostState::Up]);
     let mut wave = wave(&machines, 1);
     let host = machines.keys().next().unwrap().clone();
     wave.next(&machines, Tick(0));
     assert_eq!(wave.mode(&host, Tick(100)), DrainMode::Graceful);
     assert_eq!(wave.mode(&host, Tick(2600)), DrainMode::Forced);
-    assert!(!wave.may_take(Vacancy::Short, &machines));
-    assert!(!wave.may_take(Vacancy::Protected, &machines));
-    assert!(wave.may_take(Vacancy::Empty, &machines));
+    assert!(!wave.may_take(DrainProgress::Short, &machines));
+    assert!(!wave.may_take(DrainProgress::Protected, &machines));
+    assert!(wave.may_take(DrainProgress::Empty, &machines));
 }
 
 #[test]
 fn late_in_a_wave_short_tasks_are_stopped_at_once() {
-    let machines = hosts(&[MachineState::Up; 2]);
+    let machines = hosts(&[PlatformHostState::Up; 2]);
     let mut wave = wave(&machines, 1);
     wave.next(&machines, Tick(13_000));
     for host in machines.keys() {
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_wave_is_done_once_every_host_that_stays_has_begun() {
-    let mut machines = hosts(&[MachineState::Up; 2]);
+    let mut machines = hosts(&[PlatformHostState::Up; 2]);
     let mut wave = wave(&machines, 2);
     let first = machines.keys().next().unwrap().clone();
     let second = machines.keys().nth(1).unwrap().clone();
--- a/reachhead_jobs/tests/quota/main.rs
+++ b/reachhead_jobs/tests/quota/main.rs
@@ -8,7 +8,7 @@
 
 use reachhead_jobs::{
     clock::Tick,
-    quota::{Ledger, Standing, Statement},
+    quota::{CustomerUsage, Ledger, UsageReport},
 };
 use reachhead_plan::amount::Amount;
 use reachhead_types::size::{FencingToken, Millis};
@@ -48,8 +48,8 @@
     Amount::new(cores, 0, 0)
 }
 
-fn stated(limit: u64, used: u64, next: u64) -> Standing {
-    Standing { limit: cores(limit), used: cores(used), wanted: cores(next), next: cores(next) }
+fn stated(limit: u64, used: u64, next: u64) -> CustomerUsage {
+    CustomerUsage { limit: cores(limit), used: cores(used), wanted: cores(next), next: cores(next) }
 }
 
 /// Plays a round in which every owner takes its limits and wants one task of `next` more than it may start.
@@ -62,8 +62,8 @@
             *limit = message.limits.get(&customer()).map_or(*limit, |limit| limit.cores);
         }
         let customers = BTreeMap::from([(customer(), stated(*limit, 0, next))]);
-        let statement = Statement { owner: FencingToken(9), whole: true, customers };
-        ledger.stated(&name, &message, statement, Tick(1));
+        let report = UsageReport { owner: FencingToken(9), whole: true, customers };
+        ledger.stated(&name, &message, report, Tick(1));
     }
 }
 
@@ -109,8 +109,8 @@
             assert!(message.limits.is_empty(), "raised at {time} ms: {message:?}");
             if name != pool(0) {
                 let customers = BTreeMap::from([(customer(), stated(0, 0, 1000))]);
-                let statement = Statement { owner: FencingToken(9), whole: true, customers };
-                ledger.stated(&name, &message, statement, Tick(time));
+                let report = UsageReport { owner: FencingToken(9), whole: true, customers };
+                ledger.stated(&name, &message, report, Tick(time));
             }
         }
     }
--- a/reachhead_jobs/tests/quota/site.rs
+++ b/reachhead_jobs/tests/quota/site.rs
@@ -5,7 +5,7 @@
 use reachhead_jobs::{
     clock::Tick,
     customer::{Customer, Customers, Quota},
-    quota::{Allotment, Allowances, Demand, Ledger, Statement},
+    quota::{Allotment, CustomerLimits, Demand, Ledger, UsageReport},
 };
 use reachhead_plan::amount::Amount;
 use reachhead_types::{
@@ -52,7 +52,7 @@
 /// The owner of a pool.
 struct Owner {
     token: FencingToken,
-    allowances: Allowances,
+    allowances: CustomerLimits,
     denied: u64,
     /// When it reads the leases next.
     leases: u64,
@@ -60,7 +60,7 @@
 
 impl Owner {
     fn new(token: u64, quota: u64, leases: u64) -> Self {
-        let mut allowances = Allowances::new();
+        let mut allowances = CustomerLimits::new();
         allowances.configure(&Arc::new(customers(quota)));
         Self { token: FencingToken(token), allowances, denied: 0, leases }
     }
@@ -222,7 +222,7 @@
         );
     }
 
-    fn answer(&mut self, letter: &Letter) -> Statement {
+    fn answer(&mut self, letter: &Letter) -> UsageReport {
         let used = cores(self.used(letter.pool));
         let owner = &mut self.owners[letter.pool];
         owner.allowances.take(&letter.allotment, owner.token);
@@ -249,13 +249,13 @@
                     self.late.push(letter);
                 }
                 _ => {
-                    let statement = self.answer(&letter);
-                    statements.push((name, letter.allotment, statement));
+                    let report = self.answer(&letter);
+                    statements.push((name, letter.allotment, report));
                 }
             }
         }
-        for (name, sent, statement) in statements {
-            self.ledgers[ledger].ledger.stated(&name, &sent, statement, now);
+        for (name, sent, report) in statements {
+            self.ledgers[ledger].ledger.stated(&name, &sent, report, now);
         }
     }
 
--- a/reachhead_jobs/tests/relay.rs
+++ b/reachhead_jobs/tests/relay.rs
@@ -6,7 +6,7 @@
 
 use reachhead_jobs::{
     ports::{Change, FeedPage},
-    relay::TableLog,
+    relay::TableChangeLog,
 };
 use reachhead_property::check;
 use reachhead_store::row::{Key, Row};
@@ -38,7 +38,7 @@
         self.at = page.revision;
     }
 
-    fn ask(&mut self, log: &TableLog) {
+    fn ask(&mut self, log: &TableChangeLog) {
         match log.since(self.at) {
             Some(page) => self.apply(&page),
             None => {
@@ -55,7 +55,7 @@
 fn a_table_that_is_passed_on_is_the_table() {
     fn holds(acts: Vec<(u8, bool, u8)>) -> bool {
         let mut table: BTreeMap<Key, Revision> = BTreeMap::new();
-        let mut log = TableLog::new(FeedPage { changes: Vec::new(), revision: Revision(0) });
+        let mut log = TableChangeLog::new(FeedPage { changes: Vec::new(), revision: Revision(0) });
         let (mut near, mut far) = (Followed::default(), Followed::default());
         let mut told: Vec<Change> = Vec::new();
         for (number, (key, deleted, act)) in (1_u64..).zip(acts.iter().cycle().take(200)) {
@@ -83,7 +83,7 @@
 #[test]
 fn who_is_too_far_behind_gets_the_whole_table() {
     let mut log =
-        TableLog::new(FeedPage { changes: vec![change(1, 5, false)], revision: Revision(9) });
+        TableChangeLog::new(FeedPage { changes: vec![change(1, 5, false)], revision: Revision(9) });
     assert_eq!(log.since(Revision(8)), None, "what came before the log is not known");
     for revision in 10..200 {
         log.record(&[change(2, revision, false)], Revision(revision));
--- a/reachhead_jobs/tests/walk/site.rs
+++ b/reachhead_jobs/tests/walk/site.rs
@@ -10,7 +10,7 @@
 use reachhead_jobs::{
     clock::Tick,
     model::Plan,
-    pool::{Action, Batch, DrainMode, Due, Lane, Pool, Tuning, Vacancy},
+    pool::{Action, Batch, DrainMode, DrainProgress, Due, Lane, Pool, PoolTimeouts},
     ports::{WorkerError, WorkerInfo},
     record::{JobRecord, job_key, lease_key, value},
     shard::Shard,
@@ -159,8 +159,8 @@
     "p".parse().unwrap()
 }
 
-fn tuning() -> Tuning {
-    Tuning {
+fn timeouts() -> PoolTimeouts {
+    PoolTimeouts {
         hold: Millis(2000),
         trust: Millis(1500),
         wait: Millis(0),
@@ -346,8 +346,8 @@
         let now = Tick(self.now);
         let owner = self.newest();
         if owner.alive && owner.frozen <= now.0 {
-            let vacancy = owner.pool.vacate(&id, DrainMode::Graceful, now);
-            if matches!(vacancy, Vacancy::Empty | Vacancy::Unknown) {
+            let progress = owner.pool.drain_worker(&id, DrainMode::Graceful, now);
+            if matches!(progress, DrainProgress::Empty | DrainProgress::Unknown) {
                 if self.workers[&id].running.keys().any(|task| self.lasts(task)) {
                     self.wrong
                         .push(format!("{id} is said to be empty, and a protected task is there"));
--- a/reachhead_jobs/tests/walk/site/messages.rs
+++ b/reachhead_jobs/tests/walk/site/messages.rs
@@ -2,7 +2,7 @@
 
 use reachhead_jobs::{
     clock::Tick,
-    pool::{Action, WorkerEnd},
+    pool::{Action, DeathEvidence},
     ports::WorkerError,
     task::TaskId,
 };
@@ -126,7 +126,7 @@
     fn tell_over(&mut self, id: &WorkerId) {
         let now = self.now;
         for owner in self.owners.iter_mut().filter(|owner| owner.alive && owner.frozen <= now) {
-            owner.pool.worker_over(id, WorkerEnd::Unhosted, Tick(now));
+            owner.pool.worker_died(id, DeathEvidence::Unhosted, Tick(now));
         }
         let thaw = self.owners.iter().filter(|owner| owner.alive).map(|owner| owner.frozen).max();
         if let Some(thaw) = thaw.filter(|thaw| *thaw > now) {
--- a/reachhead_jobs/tests/walk/site/takeover.rs
+++ b/reachhead_jobs/tests/walk/site/takeover.rs
@@ -6,7 +6,7 @@
 use reachhead_jobs::{
     clock::Tick,
     fence::{Fence, FenceStep},
-    pool::{Inheritance, Pool, StoredJob, StoredProgress, StoredRoster},
+    pool::{Pool, RecoveredState, StoredJob, StoredProgress, StoredRoster},
     record::{
         JobRecord, LeaseRecord, fence_key, job_prefix, lease_key, progress_prefix, roster_prefix,
         value,
@@ -22,7 +22,7 @@
     size::{FencingToken, Millis, Revision},
 };
 
-use super::{Event, Owner, STEP, Site, pool_name, tuning};
+use super::{Event, Owner, STEP, Site, pool_name, timeouts};
 
 fn fence(token: FencingToken, shard: Shard) -> Fence {
     Fence::new(pool_name(), shard, token, "n".parse().unwrap())
@@ -32,8 +32,11 @@
     /// A new process takes the lease, whatever the owner before is doing.
     pub(super) fn take_over(&mut self) {
         let verified = Tick(self.now);
-        let mut found =
-            Inheritance { verified, effect: tuning().inheritance(), ..Inheritance::default() };
+        let mut found = RecoveredState {
+            verified,
+            effect: timeouts().takeover_delay(),
+            ..RecoveredState::default()
+        };
         let (token, term) = self.take_lease();
         for shard in Shard::all() {
             let Some(fence) = self.raise(token, shard) else { unreachable!("nobody else took it") };
@@ -43,8 +46,15 @@
         let (roster, errors) = StoredRoster::read(&self.scan(roster_prefix(&pool_name())));
         assert!(errors.is_empty(), "{errors:?}");
         found.roster = roster;
-        let pool =
-            Pool::new(pool_name(), token, term, tuning(), found, Tick(self.now), Millis(self.now));
+        let pool = Pool::new(
+            pool_name(),
+            token,
+            term,
+            timeouts(),
+            found,
+            Tick(self.now),
+            Millis(self.now),
+        );
         self.owners.push(Owner {
             pool,
             token: Revision(token.0),
--- a/reachhead_node/src/claims.rs
+++ b/reachhead_node/src/claims.rs
@@ -4,10 +4,10 @@
 
 use reachhead_jobs::{
     candidate::{self, Candidate},
-    clock::{Tick, stretched},
-    liveness::StoreSight,
+    clock::{Tick, with_drift},
+    liveness::StoreReachability,
     model::PoolPolicy,
-    pool::{Inheritance, Pool, Tuning},
+    pool::{Pool, PoolTimeouts, RecoveredState},
 };
 use reachhead_ops::event::{Event, emit};
 use reachhead_types::{
@@ -192,9 +192,10 @@
         };
         let absent = heard.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
         let unowned = absent && now.since(lease.since) > SILENT_TIME;
-        let sight = StoreSight { age: Millis(heard.pong.store_age), failing: heard.pong.failing };
-        let blind = sight.is_blind(now.since(view.store_since));
-        unowned || blind
+        let reachability =
+            StoreReachability { age: Millis(heard.pong.store_age), failing: heard.pong.failing };
+        let cut_off = reachability.is_cut_off(now.since(view.store_since));
+        unowned || cut_off
     }
 
     /// Returns how long this process lets others take a pool first.
@@ -216,12 +217,12 @@
 /// Returns how long an order of the predecessor may have effect on a worker that does not answer.
 /// One that gave the pool back, or that lives and does not own it, gives no orders any more.
 fn effect(node: &Node, pool: &PoolName, known: Option<&LeaseView>) -> Millis {
-    let tuning = tuning(node);
+    let timeouts = timeouts(node);
     let Some(lease) = known else {
         return Millis(0);
     };
     let Some(owner) = &lease.record.owner else {
-        return tuning.after_release(&lease.record);
+        return timeouts.after_release(&lease.record);
     };
     let now = node.now();
     let view = node.view();
@@ -229,10 +230,10 @@
         let absent = heard.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
         absent && heard.at > lease.since
     });
-    if ended && now.since(lease.since) >= tuning.inheritance() {
-        stretched(tuning.hold)
+    if ended && now.since(lease.since) >= timeouts.takeover_delay() {
+        with_drift(timeouts.hold)
     } else {
-        tuning.inheritance()
+        timeouts.takeover_delay()
     }
 }
 
@@ -285,7 +286,7 @@
         pool.clone(),
         FencingToken(lease.revision.0),
         lease.record.term,
-        tuning(&node),
+        timeouts(&node),
         found,
         node.now(),
         node.clock.wall(),
@@ -306,7 +307,7 @@
     pool: &PoolName,
     token: Revision,
     effect: Millis,
-) -> Option<Inheritance> {
+) -> Option<RecoveredState> {
     let mut loader = Loader::new(node, pool, token, effect);
     loop {
         match loader.load().await {
@@ -351,9 +352,9 @@
     }
 }
 
-fn tuning(node: &Node) -> Tuning {
+fn timeouts(node: &Node) -> PoolTimeouts {
     let settings = &node.settings;
-    Tuning {
+    PoolTimeouts {
         hold: settings.hold.min(HOLD_MOST),
         trust: TRUST_TIME,
         wait: POLL_WAIT,
--- a/reachhead_node/src/fleet/lives.rs
+++ b/reachhead_node/src/fleet/lives.rs
@@ -5,8 +5,8 @@
 use futures::future::join_all;
 use reachhead_jobs::{
     clock::Tick,
-    lives::{self, Deserted},
-    ports::{Machine, MachineState},
+    dead_workers::{self, UnreachableWorker},
+    ports::{PlatformHost, PlatformHostState},
 };
 use reachhead_types::{
     id::{HostId, PoolName, WorkerId},
@@ -72,16 +72,18 @@
     /// it: an order is also answered with success when it had been carried out before, and the host has a new life since.
     pub fn settle(
         &mut self,
-        machines: &BTreeMap<HostId, Machine>,
-        deserted: &[Deserted],
+        machines: &BTreeMap<HostId, PlatformHost>,
+        unreachable: &[UnreachableWorker],
         now: Tick,
     ) -> Vec<HostId> {
-        for Deserted { pool, worker } in lives::ended(deserted, machines) {
+        for UnreachableWorker { pool, worker } in dead_workers::dead_workers(unreachable, machines)
+        {
             self.note_ended(pool.clone(), worker.clone(), now);
         }
         let over = |host: &HostId, order: &OpenOrder| {
             machines.get(host).is_none_or(|machine| {
-                machine.state != MachineState::Up || machine.worker.as_ref() != Some(&order.worker)
+                machine.state != PlatformHostState::Up
+                    || machine.worker.as_ref() != Some(&order.worker)
             })
         };
         let hosts = self.open.iter().filter(|(host, order)| over(host, order));
--- a/reachhead_node/src/fleet/memory.rs
+++ b/reachhead_node/src/fleet/memory.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use reachhead_jobs::{
-    balance::{ClockReading, UseRecord},
+    balance::{ClockPair, UsageRecord},
     clock::Tick,
     record::{lease_key, use_key, value},
 };
@@ -26,7 +26,7 @@
     /// What a predecessor left was read.
     read: bool,
     revision: Option<Revision>,
-    stored: UseRecord,
+    stored: UsageRecord,
     next: Tick,
     /// A write that is under way; rounds do not wait for it.
     saving: Option<JoinHandle<Result<Commit, StoreError>>>,
@@ -34,8 +34,8 @@
 
 impl Fleet {
     /// Returns the time of day at this moment.
-    fn clock_reading(&self) -> ClockReading {
-        ClockReading { now: self.node.now(), wall: self.node.clock.wall() }
+    fn clock_pair(&self) -> ClockPair {
+        ClockPair { now: self.node.now(), wall: self.node.clock.wall() }
     }
 
     /// Takes over what a predecessor left, unless that is done.
@@ -57,9 +57,9 @@
             return;
         };
         self.memory.revision = Some(row.revision);
-        match row.parse::<UseRecord>() {
+        match row.parse::<UsageRecord>() {
             Ok(record) => {
-                let clock = self.clock_reading();
+                let clock = self.clock_pair();
                 self.moves.balance().restore(&record, clock);
                 self.memory.stored = record;
             }
@@ -74,7 +74,7 @@
         if self.memory.saving.is_some() || now < self.memory.next {
             return;
         }
-        let clock = self.clock_reading();
+        let clock = self.clock_pair();
         let record = self.moves.balance().record(clock);
         if record == self.memory.stored {
             return;
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -12,10 +12,10 @@
 };
 
 use reachhead_jobs::{
-    authority::Predecessor,
+    authority::PreviousHolder,
     clock::Tick,
     model::Configuration,
-    ports::Machine,
+    ports::PlatformHost,
     record::{LeaseRecord, lease_key, value},
     wave::Wave,
 };
@@ -45,7 +45,7 @@
 const ROUND: Duration = Duration::from_millis(100);
 
 /// Returns how long the process gives no order after it took charge.
-fn quiet_time(node: &Node, before: Option<&LeaseView>) -> Millis {
+fn takeover_wait(node: &Node, before: Option<&LeaseView>) -> Millis {
     let Some(lease) = before else {
         return Millis(0);
     };
@@ -54,7 +54,7 @@
     let heard = owner.and_then(|owner| view.heard.get(owner));
     let denies =
         |heard: &&Heard| heard.pong.owned.get(&name()).is_none_or(|token| *token < lease.revision);
-    let predecessor = Predecessor {
+    let previous = PreviousHolder {
         record: &lease.record,
         since: lease.since,
         observed: view.leases_read.is_some_and(|first| lease.since > first),
@@ -62,7 +62,7 @@
         denied: heard.filter(denies).map(|heard| heard.at),
     };
     let checked = node.settings.machines.is_none_or(|machines| machines.fenced);
-    predecessor.quiet_time(node.now(), node.settings.duty, checked)
+    previous.takeover_wait(node.now(), node.settings.duty, checked)
 }
 
 /// Returns the name under which the lease of all hosts is kept; no pool of the platform begins so.
@@ -92,7 +92,7 @@
         Event::LeaseTaken,
         format_args!("pool={} token={token} term={}", name(), lease.record.term),
     );
-    let quiet = quiet_time(&node, before.as_ref());
+    let quiet = takeover_wait(&node, before.as_ref());
     let authority = Arc::new(Authority::new(Arc::clone(&node), name(), FencingToken(token.0)));
     let mut fleet = Fleet {
         begin: node.now() + quiet,
@@ -119,7 +119,7 @@
     term: u64,
     begin: Tick,
     waves: BTreeMap<WaveName, Held>,
-    machines: BTreeMap<HostId, Machine>,
+    machines: BTreeMap<HostId, PlatformHost>,
     lives: Lives,
     memory: Memory,
     /// Hosts whose worker ended after an order, though the order was not answered yet.
@@ -179,7 +179,7 @@
     /// Finds out which workers orders have ended, and tells those who may wait for them.
     async fn settle_lives(&mut self) {
         let now = self.node.now();
-        for host in self.lives.settle(&self.machines, self.moves.deserted(), now) {
+        for host in self.lives.settle(&self.machines, self.moves.unreachable(), now) {
             if self.waves.values().any(|held| held.wave.is_due(&host)) {
                 self.restarted.insert(host);
             }
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -4,8 +4,8 @@
 
 use futures::future::join_all;
 use reachhead_jobs::{
-    clock::stretched,
-    quota::{Allotment, Ledger, Statement, VOID_TIME},
+    clock::with_drift,
+    quota::{Allotment, LIMIT_EXPIRY, Ledger, UsageReport},
 };
 use reachhead_types::{
     id::PoolName,
@@ -39,7 +39,7 @@
 pub async fn run(node: Arc<Node>, token: Revision) {
     // An owner sees a new ledger within the time for which it trusts its own lease; what it started until its limits are
     // void ends with its lease at the latest where nobody prolongs that.
-    let effect = Millis(TRUST_TIME.0 + VOID_TIME.0 + stretched(HOLD_MOST).0);
+    let effect = Millis(TRUST_TIME.0 + LIMIT_EXPIRY.0 + with_drift(HOLD_MOST).0);
     let mut ledger = Ledger::new(FencingToken(token.0), effect, node.now());
     while node.local(&name()).is_some_and(|handle| handle.token == token) {
         // An owner whose lease is older than this one's has to be known as the owner, see `Owner::allot`.
@@ -66,25 +66,25 @@
     }
     let messages = ledger.round(config.pools.keys(), &config.customers, node.now());
     let asks = messages.into_iter().map(|(pool, allotment)| async move {
-        let statement = ask(node, &pool, &allotment).await;
-        (pool, allotment, statement)
+        let report = ask(node, &pool, &allotment).await;
+        (pool, allotment, report)
     });
     let mut news = false;
-    for (pool, allotment, statement) in join_all(asks).await {
+    for (pool, allotment, report) in join_all(asks).await {
         let lease = node.view().leases.get(&pool).map(|lease| FencingToken(lease.revision.0));
         // What an owner says that has been replaced does not bind its successor.
-        let current = |statement: &Statement| Some(statement.owner) >= lease;
-        if let Some(statement) = statement.filter(current) {
-            news |= ledger.stated(&pool, &allotment, statement, node.now());
+        let current = |report: &UsageReport| Some(report.owner) >= lease;
+        if let Some(report) = report.filter(current) {
+            news |= ledger.stated(&pool, &allotment, report, node.now());
         }
     }
     news
 }
 
-async fn ask(node: &Node, pool: &PoolName, allotment: &Allotment) -> Option<Statement> {
+async fn ask(node: &Node, pool: &PoolName, allotment: &Allotment) -> Option<UsageReport> {
     let ask = ask_pool(node, pool, PoolAsk::Allot(allotment.clone()));
     match time::timeout(ANSWER_TIME, ask).await {
-        Ok(Some(Reply::Statement(statement))) => Some(statement),
+        Ok(Some(Reply::Statement(report))) => Some(report),
         _ => None,
     }
 }
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -2,8 +2,8 @@
 
 use futures::future::join_all;
 use reachhead_jobs::{
-    pool::{DrainMode, Vacancy},
-    ports::{Machine, MachineError},
+    pool::{DrainMode, DrainProgress},
+    ports::{HostOrderError, PlatformHost},
     record::{lease_key, value},
     wave::{Wave, WaveOrder, WaveRecord},
 };
@@ -29,7 +29,7 @@
 /// A host that is ordered down.
 struct Taken {
     host: HostId,
-    vacancy: Vacancy,
+    progress: DrainProgress,
     /// No earlier order about it is open.
     first: bool,
 }
@@ -108,7 +108,7 @@
     /// Empties hosts and orders them down as far as that may be; tells whether the maintenance of any
     /// has begun.
     async fn take_hosts(&mut self, name: &WaveName, hosts: Vec<HostId>) -> bool {
-        let mut machines: Vec<Machine> = Vec::new();
+        let mut machines: Vec<PlatformHost> = Vec::new();
         for host in &hosts {
             machines.extend(self.machines.get(host).cloned());
         }
@@ -121,24 +121,24 @@
         };
         let vacancies = join_all(machines.iter().map(|machine| async {
             if self.restarted.contains(&machine.host) {
-                Vacancy::Empty
+                DrainProgress::Empty
             } else {
-                self.vacancy(machine, mode(&machine.host)).await
+                self.progress(machine, mode(&machine.host)).await
             }
         }))
         .await;
         let now = self.node.now();
         let mut taken: Vec<Taken> = Vec::new();
-        for (machine, vacancy) in machines.into_iter().zip(vacancies) {
+        for (machine, progress) in machines.into_iter().zip(vacancies) {
             let Some(held) = self.waves.get_mut(name) else {
                 return false;
             };
-            if !held.wave.may_take(vacancy, &self.machines) {
+            if !held.wave.may_take(progress, &self.machines) {
                 if let Some(waited) = held.wave.note_held(&machine.host, now) {
                     emit(
                         Event::HostHeld,
                         format_args!(
-                            "wave={name} host={} pool={} worker={:?} vacancy={vacancy:?} for={waited}ms",
+                            "wave={name} host={} pool={} worker={:?} vacancy={progress:?} for={waited}ms",
                             machine.host, machine.pool, machine.worker
                         ),
                     );
@@ -151,16 +151,16 @@
                 let order = OpenOrder { pool: machine.pool, worker, maintenance: true };
                 self.lives.ordered(&machine.host, order);
             }
-            taken.push(Taken { host: machine.host, vacancy, first });
+            taken.push(Taken { host: machine.host, progress, first });
         }
         let Some(api) = self.node.services.machines.clone() else {
             return false;
         };
         let authority = &self.authority;
         let orders = taken.iter().map(|taken| async {
-            match authority.mandate().await {
-                Some(mandate) => api.maintain(mandate, taken.host.clone(), name.clone()).await,
-                None => Err(MachineError::NotDone("the lease is not confirmed".to_owned())),
+            match authority.permit().await {
+                Some(permit) => api.maintain(permit, taken.host.clone(), name.clone()).await,
+                None => Err(HostOrderError::NotDone("the lease is not confirmed".to_owned())),
             }
         });
         let results = join_all(orders).await;
@@ -176,13 +176,13 @@
         &mut self,
         name: &WaveName,
         taken: &Taken,
-        result: Result<(), MachineError>,
+        result: Result<(), HostOrderError>,
     ) -> bool {
-        let Taken { host, vacancy, first } = taken;
+        let Taken { host, progress, first } = taken;
         emit(
             Event::HostOrdered,
             format_args!(
-                "wave={name} host={host} vacancy={vacancy:?} token={} {result:?}",
+                "wave={name} host={host} vacancy={progress:?} token={} {result:?}",
                 self.token
             ),
         );
@@ -190,16 +190,16 @@
             return false;
         };
         match result {
-            Ok(()) | Err(MachineError::Unknown | MachineError::Foreign) => {
+            Ok(()) | Err(HostOrderError::Unknown | HostOrderError::Foreign) => {
                 held.wave.begun(host);
                 self.restarted.remove(host);
                 true
             }
-            Err(MachineError::Fenced) => {
+            Err(HostOrderError::Fenced) => {
                 self.fenced = true;
                 false
             }
-            Err(MachineError::Busy | MachineError::NotDone(_)) => {
+            Err(HostOrderError::Busy | HostOrderError::NotDone(_)) => {
                 held.wave.not_taken(host);
                 if *first {
                     self.lives.withdrawn(host);
@@ -207,19 +207,19 @@
                 false
             }
             // The order may have had effect; it is repeated, and then it says so.
-            Err(MachineError::Lost(_)) => false,
+            Err(HostOrderError::Lost(_)) => false,
         }
     }
 
-    async fn vacancy(&self, machine: &Machine, mode: DrainMode) -> Vacancy {
+    async fn progress(&self, machine: &PlatformHost, mode: DrainMode) -> DrainProgress {
         let Some(worker) = &machine.worker else {
-            return Vacancy::Empty;
+            return DrainProgress::Empty;
         };
         let ask = PoolAsk::Vacate(worker.clone(), mode);
         match ask_pool(&self.node, &machine.pool, ask).await {
-            Some(Reply::Vacancy(vacancy)) => vacancy,
+            Some(Reply::Vacancy(progress)) => progress,
             // Without the pool's owner nobody knows what is there.
-            _ => Vacancy::Protected,
+            _ => DrainProgress::Protected,
         }
     }
 
@@ -270,7 +270,7 @@
     }
 
     async fn tell(&self, wave: &WaveName, done: bool) -> bool {
-        let write = self.node.services.dialect.wave_status(wave, done);
+        let write = self.node.services.row_format.wave_status(wave, done);
         let mut txn = Txn::new();
         txn.writes.push(write);
         match self.node.services.store.commit(txn).await {
--- a/reachhead_node/src/follow.rs
+++ b/reachhead_node/src/follow.rs
@@ -184,12 +184,12 @@
     fn take(&self, change: &Change) {
         let node = &self.0;
         if change.deleted {
-            if let Some(zone) = node.services.dialect.drained_zone(&change.row.key) {
+            if let Some(zone) = node.services.row_format.drained_zone(&change.row.key) {
                 self.drain(zone, false);
             }
             return;
         }
-        match node.services.dialect.operator_row(&change.row) {
+        match node.services.row_format.operator_row(&change.row) {
             Ok(OperatorRow::Configuration(config)) => {
                 let version = config.version;
                 if node.view().adopt(config) {
@@ -226,7 +226,7 @@
 
 impl Follower for Operators {
     fn table(&self) -> &'static str {
-        self.0.services.dialect.operator_table()
+        self.0.services.row_format.operator_table()
     }
 
     fn wait(&self) -> Millis {
@@ -235,9 +235,9 @@
 
     fn reset(&self, rows: &[Change]) {
         // Of a drain that has ended there is no row.
-        let dialect = &self.0.services.dialect;
+        let row_format = &self.0.services.row_format;
         let there: BTreeSet<ZoneName> =
-            rows.iter().filter_map(|change| dialect.drained_zone(&change.row.key)).collect();
+            rows.iter().filter_map(|change| row_format.drained_zone(&change.row.key)).collect();
         let ended: Vec<ZoneName> = self.0.view().drained.difference(&there).cloned().collect();
         for zone in ended {
             self.drain(zone, false);
@@ -377,7 +377,7 @@
         if deleted {
             return self.drop(row);
         }
-        match node.services.dialect.worker_row(row) {
+        match node.services.row_format.worker_row(row) {
             Ok(info) => {
                 let known = node.view().workers.insert(info.id.clone(), info.clone());
                 let news = known.as_ref() != Some(&info);
@@ -396,7 +396,7 @@
     }
 
     fn drop(&self, row: &Row) -> bool {
-        let Some(id) = self.0.services.dialect.worker_of(&row.key) else {
+        let Some(id) = self.0.services.row_format.worker_of(&row.key) else {
             return false;
         };
         let known = self.0.view().workers.remove(&id).is_some();
@@ -409,7 +409,7 @@
 
 impl Follower for Workers {
     fn table(&self) -> &'static str {
-        self.0.services.dialect.worker_table()
+        self.0.services.row_format.worker_table()
     }
 
     fn wait(&self) -> Millis {
--- a/reachhead_node/src/mandate.rs
+++ b/reachhead_node/src/mandate.rs
@@ -6,7 +6,7 @@
 };
 
 use reachhead_jobs::{
-    authority::{Confirmation, Mandate, ORDER_TERM},
+    authority::{LeaseConfirmation, ORDER_WINDOW, OrderPermit},
     record::lease_key,
 };
 use reachhead_types::{boot_instant::BootInstant, id::PoolName, size::FencingToken};
@@ -19,7 +19,7 @@
     node: Arc<Node>,
     duty: PoolName,
     token: FencingToken,
-    confirmation: Mutex<Confirmation>,
+    confirmation: Mutex<LeaseConfirmation>,
     lost: AtomicBool,
 }
 
@@ -32,18 +32,18 @@
 
     /// Returns what an order may be given on, or `None` if the store does not confirm the lease now. Nothing may be
     /// waited for between this and the order.
-    pub async fn mandate(&self) -> Option<Mandate> {
+    pub async fn permit(&self) -> Option<OrderPermit> {
         let checked = self.node.settings.machines.is_none_or(|machines| machines.fenced);
         if checked {
-            return Some(Mandate { token: self.token, until: None });
+            return Some(OrderPermit { token: self.token, until: None });
         }
         let mut confirmation = self.confirmation.lock().await;
         if let Some(until) = confirmation.until(BootInstant::now()) {
-            return Some(Mandate { token: self.token, until: Some(until) });
+            return Some(OrderPermit { token: self.token, until: Some(until) });
         }
         let asked = BootInstant::now();
         let read = self.node.services.store.read(vec![lease_key(&self.duty)]);
-        let rows = match time::timeout(ORDER_TERM.duration(), read).await {
+        let rows = match time::timeout(ORDER_WINDOW.duration(), read).await {
             Ok(rows) => rows,
             Err(_) => {
                 log::info!("duty={} the store does not confirm the lease in time", self.duty);
@@ -63,7 +63,7 @@
             return None;
         }
         let until = confirmation.until(BootInstant::now())?;
-        Some(Mandate { token: self.token, until: Some(until) })
+        Some(OrderPermit { token: self.token, until: Some(until) })
     }
 
     /// Tells whether the store said that somebody else holds the lease.
--- a/reachhead_node/src/membership.rs
+++ b/reachhead_node/src/membership.rs
@@ -5,8 +5,8 @@
 use futures::future::join_all;
 use reachhead_jobs::{
     membership::{
-        Entrant, MISSES_MOST, entry_delay, may_judge, retry_pause, seats, should_enter,
-        should_leave,
+        MAX_MISSED_PINGS, MemberCandidate, can_remove_members, join_delay, retry_pause,
+        should_join, should_leave, target_members,
     },
     record::{MemberRecord, member_key, value},
 };
@@ -46,7 +46,7 @@
     loop {
         if next_step(&node).is_some() {
             // Others enter meanwhile, and there may be enough then.
-            time::sleep(entry_delay(node.strength(), rand::random())).await;
+            time::sleep(join_delay(node.strength(), rand::random())).await;
             let done = match next_step(&node) {
                 Some(step) => take(&node, step).await,
                 None => true,
@@ -63,21 +63,20 @@
     let record = MemberRecord { address: node.settings.peer, strength: node.strength() };
     let view = node.view();
     let pools = view.config.as_ref()?.pools.len();
-    let own = Entrant { node: &node.settings.node, strength: record.strength };
+    let own = MemberCandidate { node: &node.settings.node, strength: record.strength };
     let others = || {
-        view.members
-            .iter()
-            .filter(|(other, _)| **other != node.settings.node)
-            .map(|(other, member)| Entrant { node: other, strength: member.record.strength })
+        view.members.iter().filter(|(other, _)| **other != node.settings.node).map(
+            |(other, member)| MemberCandidate { node: other, strength: member.record.strength },
+        )
     };
     match view.members.get(&node.settings.node) {
-        Some(known) if should_leave(own, others(), seats(pools)) => {
+        Some(known) if should_leave(own, others(), target_members(pools)) => {
             (known.revision != Revision(0)).then_some(Step::Leave)
         }
         Some(known) if known.record == record => None,
         // Its peers would look for it where it was before.
         Some(_) => Some(Step::Enter(record)),
-        None => should_enter(own, others(), seats(pools)).then_some(Step::Enter(record)),
+        None => should_join(own, others(), target_members(pools)).then_some(Step::Enter(record)),
     }
 }
 
@@ -146,7 +145,7 @@
     );
     let told = join_all(asks).await;
     let answered = told.iter().filter(|(_, lives)| *lives).count();
-    if !may_judge(answered, told.len()) {
+    if !can_remove_members(answered, told.len()) {
         log::info!("{answered} of {} members answer, so nobody is taken off", told.len());
         misses.clear();
         return Vec::new();
@@ -159,7 +158,7 @@
             *misses.entry(name).or_default() += 1;
         }
     }
-    let gone = misses.iter().filter(|(_, count)| **count >= MISSES_MOST);
+    let gone = misses.iter().filter(|(_, count)| **count >= MAX_MISSED_PINGS);
     gone.map(|(name, _)| name.clone()).collect()
 }
 
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -11,11 +11,11 @@
     stream::{self, StreamExt},
 };
 use reachhead_jobs::{
-    balance::{Balance, Move, PoolState, Room, round_trip},
+    balance::{Balance, HostDemand, Move, PoolState, restart_cost},
     clock::Tick,
-    lives::Deserted,
-    pool::{DrainMode, Vacancy},
-    ports::{Machine, MachineApi, MachineError, MachineState},
+    dead_workers::UnreachableWorker,
+    pool::{DrainMode, DrainProgress},
+    ports::{HostApi, HostOrderError, PlatformHost, PlatformHostState},
 };
 use reachhead_ops::event::{Event, emit};
 use reachhead_types::{
@@ -76,9 +76,9 @@
     /// When the last round looked at the pools.
     last: Tick,
     /// Workers that nobody answers for, with their pools, as of the last round.
-    deserted: Vec<Deserted>,
+    unreachable: Vec<UnreachableWorker>,
     /// The rooms that were logged last, and when.
-    told: Vec<Room>,
+    told: Vec<HostDemand>,
     told_at: Tick,
     /// Orders that may be given at once.
     saved: f64,
@@ -94,7 +94,7 @@
             balance: Balance::new(),
             ordered: BTreeMap::new(),
             last,
-            deserted: Vec::new(),
+            unreachable: Vec::new(),
             told: Vec::new(),
             told_at: last,
             saved: 0.0,
@@ -103,7 +103,7 @@
 
     /// Tells whether moves of so many hosts are scarce, so that what their pools use is remembered.
     pub fn remembers(&self, hosts: usize) -> bool {
-        round_trip(hosts, self.rate()) > Millis(0)
+        restart_cost(hosts, self.rate()) > Millis(0)
     }
 
     /// Returns what decides on moves.
@@ -120,11 +120,11 @@
     /// done with.
     pub async fn round(
         &mut self,
-        machines: &BTreeMap<HostId, Machine>,
+        machines: &BTreeMap<HostId, PlatformHost>,
         held: impl Fn(&HostId) -> bool,
     ) -> Vec<Moved> {
         let pools = self.pools().await;
-        self.deserted = deserted(&pools);
+        self.unreachable = unreachable(&pools);
         let now = self.node.now();
         let machines = self.corrected(machines, now);
         let drained = self.node.view().drained.clone();
@@ -160,7 +160,7 @@
                     Some(Reply::Vacancies(told)) => workers
                         .into_iter()
                         .zip(told)
-                        .filter(|(_, vacancy)| *vacancy == Vacancy::Empty)
+                        .filter(|(_, progress)| *progress == DrainProgress::Empty)
                         .map(|(worker, _)| worker)
                         .collect(),
                     _ => Vec::new(),
@@ -171,18 +171,18 @@
     }
 
     /// Returns the workers that nobody answers for, as their pools' owners said in the last round.
-    pub fn deserted(&self) -> &[Deserted] {
-        &self.deserted
+    pub fn unreachable(&self) -> &[UnreachableWorker] {
+        &self.unreachable
     }
 
     /// Logs what each pool has and needs, now and then, if that has changed.
     fn tell_rooms(&mut self, now: Tick) {
-        if now.since(self.told_at) < ROOMS_PERIOD || self.balance.rooms() == self.told {
+        if now.since(self.told_at) < ROOMS_PERIOD || self.balance.demands() == self.told {
             return;
         }
         self.told_at = now;
-        self.told = self.balance.rooms().to_vec();
-        for Room { pool, have, claim, want, free, busy } in &self.told {
+        self.told = self.balance.demands().to_vec();
+        for HostDemand { pool, have, claim, want, free, busy } in &self.told {
             emit(
                 Event::RoomPlanned,
                 format_args!(
@@ -204,15 +204,15 @@
     /// Returns the platform's list with the orders that it may not show yet.
     fn corrected(
         &mut self,
-        machines: &BTreeMap<HostId, Machine>,
+        machines: &BTreeMap<HostId, PlatformHost>,
         now: Tick,
-    ) -> BTreeMap<HostId, Machine> {
+    ) -> BTreeMap<HostId, PlatformHost> {
         self.ordered.retain(|_, ordered| now.since(ordered.at) < ORDER_TIME);
         let mut machines = machines.clone();
         for (host, ordered) in &self.ordered {
             if let Some(machine) = machines.get_mut(host) {
                 machine.pool = ordered.to.clone();
-                machine.state = MachineState::Moving;
+                machine.state = PlatformHostState::Moving;
             }
         }
         machines
@@ -236,28 +236,29 @@
     }
 
     async fn carry_out(&self, step: Move) -> Option<Moved> {
-        let api: &Arc<dyn MachineApi> = self.node.services.machines.as_ref()?;
-        let mandate = self.authority.mandate().await?;
-        let result = api.relocate(mandate, step.host.clone(), step.to.clone()).await;
+        let api: &Arc<dyn HostApi> = self.node.services.machines.as_ref()?;
+        let permit = self.authority.permit().await?;
+        let result = api.relocate(permit, step.host.clone(), step.to.clone()).await;
         emit(
             Event::HostOrdered,
             format_args!(
                 "host={} from={} to={} token={} {result:?}",
-                step.host, step.from, step.to, mandate.token
+                step.host, step.from, step.to, permit.token
             ),
         );
         Some(Moved {
-            possible: matches!(result, Ok(()) | Err(MachineError::Lost(_))),
-            fenced: result == Err(MachineError::Fenced),
+            possible: matches!(result, Ok(()) | Err(HostOrderError::Lost(_))),
+            fenced: result == Err(HostOrderError::Fenced),
             step,
         })
     }
 }
 
-fn deserted(pools: &BTreeMap<PoolName, PoolState>) -> Vec<Deserted> {
+fn unreachable(pools: &BTreeMap<PoolName, PoolState>) -> Vec<UnreachableWorker> {
     let mut found = Vec::new();
     for (pool, state) in pools {
-        let of_pool = |worker: &WorkerId| Deserted { pool: pool.clone(), worker: worker.clone() };
+        let of_pool =
+            |worker: &WorkerId| UnreachableWorker { pool: pool.clone(), worker: worker.clone() };
         found.extend(state.load.deserted.iter().map(of_pool));
     }
     found
--- a/reachhead_node/src/node.rs
+++ b/reachhead_node/src/node.rs
@@ -7,7 +7,7 @@
 
 use reachhead_jobs::{
     clock::Tick,
-    ports::{Advisor, Dialect, MachineApi, TableFeed, WorkerAgent},
+    ports::{Advisor, HostApi, RowFormat, TableFeed, WorkerAgent},
 };
 use reachhead_ops::event::{Event, emit};
 use reachhead_platform::settings::Settings;
@@ -40,11 +40,11 @@
     /// The agents on workers.
     pub workers: Arc<dyn WorkerAgent>,
     /// The platform's hosts, if it has them.
-    pub machines: Option<Arc<dyn MachineApi>>,
+    pub machines: Option<Arc<dyn HostApi>>,
     /// Who knows which workers may run a step, if anybody decides that.
     pub advisor: Option<Arc<dyn Advisor>>,
     /// How operators and workers write their rows.
-    pub dialect: Arc<dyn Dialect>,
+    pub row_format: Arc<dyn RowFormat>,
 }
 
 /// Time of a whole core that the start of a task takes with its reports, in seconds: the
--- a/reachhead_node/src/owner/input.rs
+++ b/reachhead_node/src/owner/input.rs
@@ -2,9 +2,9 @@
 
 use reachhead_jobs::{
     clock::{Tick, WorkerTime},
-    pool::{Batch, DrainMode, PoolLoad, StateReply, Vacancy},
+    pool::{Batch, DrainMode, DrainProgress, PoolLoad, StateReply},
     ports::{Approval, WorkerError, WorkerInfo, WorkerReport},
-    quota::{Allotment, Statement},
+    quota::{Allotment, UsageReport},
     task::{StepId, TaskId},
 };
 use reachhead_store::{
@@ -43,13 +43,13 @@
     /// Somebody asks how many jobs wait.
     Waiting(RouteName, oneshot::Sender<u32>),
     /// A worker's host is due for planned work.
-    Vacate(WorkerId, DrainMode, oneshot::Sender<Vacancy>),
+    Vacate(WorkerId, DrainMode, oneshot::Sender<DrainProgress>),
     /// Hosts of these workers are to be moved.
-    VacateAll(Vec<WorkerId>, DrainMode, oneshot::Sender<Vec<Vacancy>>),
+    VacateAll(Vec<WorkerId>, DrainMode, oneshot::Sender<Vec<DrainProgress>>),
     /// Somebody asks how much room the pool needs.
     Load(oneshot::Sender<PoolLoad>),
     /// What the pool may have running for customers.
-    Allot(Allotment, oneshot::Sender<Statement>),
+    Allot(Allotment, oneshot::Sender<UsageReport>),
     /// Lives of workers are over.
     Over(Vec<WorkerId>),
     /// The registered workers changed.
--- a/reachhead_node/src/owner/mod.rs
+++ b/reachhead_node/src/owner/mod.rs
@@ -12,8 +12,8 @@
 use futures::future::join_all;
 use reachhead_jobs::{
     clock::Tick,
-    pool::{Action, Batch, Cancelled, Due, JobState, Lane, Pool, WorkerEnd},
-    quota::{Allotment, Statement},
+    pool::{Action, Batch, Cancelled, DeathEvidence, Due, JobState, Lane, Pool},
+    quota::{Allotment, UsageReport},
     record::{JobRecord, LeaseRecord, job_prefix, lease_key, value},
     shard::Shard,
 };
@@ -213,11 +213,11 @@
                 let _ = reply.send(self.pool.waiting(&queue));
             }
             Input::Vacate(worker, mode, reply) => {
-                let _ = reply.send(self.pool.vacate(&worker, mode, now));
+                let _ = reply.send(self.pool.drain_worker(&worker, mode, now));
             }
             Input::VacateAll(workers, mode, reply) => {
-                let vacancy = |worker| self.pool.vacate(worker, mode, now);
-                let _ = reply.send(workers.iter().map(vacancy).collect());
+                let progress = |worker| self.pool.drain_worker(worker, mode, now);
+                let _ = reply.send(workers.iter().map(progress).collect());
             }
             Input::Load(reply) => {
                 let _ = reply.send(self.pool.load(now));
@@ -225,7 +225,7 @@
             Input::Allot(allotment, reply) => self.allot(&allotment, reply, now),
             Input::Over(workers) => {
                 for worker in workers {
-                    self.pool.worker_over(&worker, WorkerEnd::Unhosted, now);
+                    self.pool.worker_died(&worker, DeathEvidence::Unhosted, now);
                 }
             }
             Input::Listed(workers) => self.pool.list(workers, now),
@@ -251,7 +251,7 @@
     /// Takes in limits, once every lease is known that is older than the owner's own. Of an owner and a ledger that take
     /// charge at the same time one sees the other's lease: otherwise a ledger that has been replaced could give a new owner
     /// what its successor, which has asked the old owner, gives to others.
-    fn allot(&mut self, allotment: &Allotment, reply: oneshot::Sender<Statement>, now: Tick) {
+    fn allot(&mut self, allotment: &Allotment, reply: oneshot::Sender<UsageReport>, now: Tick) {
         if self.node.view().leases_revision >= self.handle.token {
             self.configure(now);
             let _ = reply.send(self.pool.allot(allotment));
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -11,9 +11,9 @@
 use http_body_util::Full;
 use hyper::{Method, Request, StatusCode, header};
 use reachhead_jobs::{
-    pool::{DrainMode, PoolLoad, StateReply, Vacancy},
+    pool::{DrainMode, DrainProgress, PoolLoad, StateReply},
     ports::FeedPage,
-    quota::{Allotment, Statement},
+    quota::{Allotment, UsageReport},
     record::JobRecord,
 };
 use reachhead_ops::{
@@ -126,13 +126,13 @@
     /// Jobs that wait.
     Waiting(u32),
     /// How empty the worker is.
-    Vacancy(Vacancy),
+    Vacancy(DrainProgress),
     /// How empty each worker is, in the order in which they were asked for.
-    Vacancies(Vec<Vacancy>),
+    Vacancies(Vec<DrainProgress>),
     /// How much room the pool needs.
     Load(PoolLoad),
     /// What customers have in the pool, and could use.
-    Statement(Statement),
+    Statement(UsageReport),
 }
 
 /// What a process says of itself.
@@ -217,7 +217,7 @@
 
     /// Asks the store what operators have written, for a peer that it turns away.
     async fn operators(&self, revision: Revision) -> Option<FeedPage> {
-        let table = self.0.services.dialect.operator_table();
+        let table = self.0.services.row_format.operator_table();
         let page = operator_changes(&self.0, table, revision).await;
         self.0.note_store(&page);
         page.inspect_err(|error| log::info!("nothing can be told to a peer: {error}")).ok()
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -156,7 +156,7 @@
         advisor: settings.advice.map(|address| {
             Arc::new(HttpAdvisor::new(Arc::clone(client), address, ADVICE_TIME)) as _
         }),
-        dialect: Arc::new(PlatformDialect::new()),
+        row_format: Arc::new(PlatformDialect::new()),
     }
 }
 
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -11,7 +11,7 @@
 
 use reachhead_jobs::{
     clock::Tick,
-    registry::{WorkerChange, WorkerLog},
+    registry::{WorkerChange, WorkerChangeLog},
 };
 use reachhead_types::{id::PoolName, size::Millis};
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
 /// What is passed on, and how it comes in.
 pub struct Registry {
     epoch: u64,
-    log: Mutex<WorkerLog>,
+    log: Mutex<WorkerChangeLog>,
     changed: watch::Sender<u64>,
     /// When this process, as an owner of pools, last had a good answer, or began to need one.
     heard: Mutex<Tick>,
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -15,7 +15,7 @@
 use reachhead_jobs::{
     clock::Tick,
     ports::{FeedError, FeedPage},
-    relay::TableLog,
+    relay::TableChangeLog,
 };
 use reachhead_store::StoreError;
 use reachhead_types::size::{Millis, Revision};
@@ -81,7 +81,7 @@
 
 /// A table that this process passes on.
 struct Passed {
-    log: TableLog,
+    log: TableChangeLog,
     seen: Tick,
 }
 
@@ -122,7 +122,7 @@
         let told = locked(&self.told).get(table).copied().unwrap_or_default();
         // A change that the store told beyond the page meanwhile was not recorded.
         if told <= page.revision {
-            locked(&self.tables).insert(table, Passed { log: TableLog::new(page), seen: at });
+            locked(&self.tables).insert(table, Passed { log: TableChangeLog::new(page), seen: at });
         }
     }
 
@@ -234,8 +234,8 @@
 
 /// Answers a process that asks for a table.
 pub async fn answer(node: &Arc<Node>, ask: TableAsk) -> TableReply {
-    let dialect = &node.services.dialect;
-    let tables = [dialect.operator_table(), LEASE_TABLE];
+    let row_format = &node.services.row_format;
+    let tables = [row_format.operator_table(), LEASE_TABLE];
     let Some(table) = tables.into_iter().find(|table| *table == ask.table) else {
         return TableReply::Unknown;
     };
--- a/reachhead_node/src/takeover.rs
+++ b/reachhead_node/src/takeover.rs
@@ -12,7 +12,7 @@
 };
 use reachhead_jobs::{
     fence::{Fence, FenceStep},
-    pool::{Inheritance, StoredJob, StoredProgress, StoredRoster},
+    pool::{RecoveredState, StoredJob, StoredProgress, StoredRoster},
     progress::ProgressRecord,
     record::{
         JobRecord, LeaseRecord, fence_key, job_prefix, lease_key, progress_prefix, roster_prefix,
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// What the store said of a read that failed; the lease still names this process.
-    pub async fn load(&mut self) -> Result<Option<Inheritance>, StoreError> {
+    pub async fn load(&mut self) -> Result<Option<RecoveredState>, StoreError> {
         let result = self.read().await;
         self.narrow |= result.is_err();
         if !result? {
@@ -130,7 +130,7 @@
         for error in errors {
             emit(Event::RowRefused, error);
         }
-        let mut found = Inheritance { effect: self.effect, roster, ..Inheritance::default() };
+        let mut found = RecoveredState { effect: self.effect, roster, ..RecoveredState::default() };
         for (shard, part) in std::mem::take(&mut self.parts) {
             found.fences.insert(shard, part.fence);
             found.jobs.append(&mut stored_jobs(&part));
