--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -12,9 +12,9 @@
 };
 use reachhead_platform::{
     advice::HttpAdvisor,
-    dialect::PlatformDialect,
     front::{FrontHandler, ReadyHandler},
-    machines::HttpMachines,
+    hosts::HttpHostApi,
+    row_format::PlatformRowFormat,
     settings::{Settings, SettingsError},
     store::TableStore,
     workers::HttpWorkers,
@@ -150,13 +150,13 @@
         workers: Arc::new(HttpWorkers::new(Arc::clone(client), ORDER_TIME, POLL_TIME)),
         machines: settings.machines.map(|machines| {
             let node = settings.node.clone();
-            Arc::new(HttpMachines::new(Arc::clone(client), machines.address, node, MACHINE_TIME))
+            Arc::new(HttpHostApi::new(Arc::clone(client), machines.address, node, MACHINE_TIME))
                 as _
         }),
         advisor: settings.advice.map(|address| {
             Arc::new(HttpAdvisor::new(Arc::clone(client), address, ADVICE_TIME)) as _
         }),
-        row_format: Arc::new(PlatformDialect::new()),
+        row_format: Arc::new(PlatformRowFormat::new()),
     }
 }
 
