--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -25,7 +25,7 @@
 use crate::{
     follow::{Follower, Operators},
     node::Node,
-    peer::{Ask, Reply},
+    peer::{PeerReply, PeerRequest},
     relay,
 };
 
@@ -250,9 +250,9 @@
 async fn ask_peer(node: &Node) -> Result<FeedPage, String> {
     let peer = node.view().sighted_peer(node.now(), PEER_TIME, PEER_TIME);
     let peer = peer.ok_or("no peer reaches it")?;
-    let ask = Ask::Operators(node.view().config_revision);
-    match node.peers.ask(peer, &ask, LOOK_TIME).await {
-        Ok(Reply::Operators(Some(page))) => Ok(page),
+    let request = PeerRequest::Operators(node.view().config_revision);
+    match node.peers.ask(peer, &request, LOOK_TIME).await {
+        Ok(PeerReply::Operators(Some(page))) => Ok(page),
         Ok(_) => Err(format!("peer={peer} can't say")),
         Err(error) => Err(format!("peer={peer} {error}")),
     }
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -18,7 +18,7 @@
     claims::{HOLD_MOST, TRUST_TIME},
     frontend::ask_pool,
     node::Node,
-    peer::{PoolAsk, Reply},
+    peer::{PeerReply, PoolRequest},
 };
 
 /// Pause between two rounds while no customer waits for more: what pools have changes, and is to be known when one does.
@@ -82,9 +82,9 @@
 }
 
 async fn ask(node: &Node, pool: &PoolName, allotment: &Allotment) -> Option<UsageReport> {
-    let ask = ask_pool(node, pool, PoolAsk::Allot(allotment.clone()));
-    match time::timeout(ANSWER_TIME, ask).await {
-        Ok(Some(Reply::Statement(report))) => Some(report),
+    let request = ask_pool(node, pool, PoolRequest::Allot(allotment.clone()));
+    match time::timeout(ANSWER_TIME, request).await {
+        Ok(Some(PeerReply::Statement(report))) => Some(report),
         _ => None,
     }
 }
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -17,7 +17,7 @@
 use super::{Fleet, lives::OpenOrder, name};
 use crate::{
     frontend::ask_pool,
-    peer::{PoolAsk, Reply},
+    peer::{PeerReply, PoolRequest},
 };
 
 /// A wave in the hands of this process.
@@ -215,9 +215,9 @@
         let Some(worker) = &machine.worker else {
             return DrainProgress::Empty;
         };
-        let ask = PoolAsk::Vacate(worker.clone(), mode);
-        match ask_pool(&self.node, &machine.pool, ask).await {
-            Some(Reply::Vacancy(progress)) => progress,
+        let request = PoolRequest::Vacate(worker.clone(), mode);
+        match ask_pool(&self.node, &machine.pool, request).await {
+            Some(PeerReply::Vacancy(progress)) => progress,
             // Without the pool's owner nobody knows what is there.
             _ => DrainProgress::Protected,
         }
--- a/reachhead_node/src/frontend.rs
+++ b/reachhead_node/src/frontend.rs
@@ -23,7 +23,7 @@
 use crate::{
     node::Node,
     owner::CancelReply,
-    peer::{Ask, PoolAsk, Reply, Submitted, ask_owner},
+    peer::{PeerReply, PeerRequest, PoolRequest, Submitted, ask_owner},
 };
 
 /// Longest wait for an owner's answer about one job; the store can answer too.
@@ -43,9 +43,9 @@
 
 impl NodeFrontend {
     async fn state(&self, pool: &PoolName, id: JobId, by: Option<CustomerName>) -> Answer {
-        match self.ask(pool, PoolAsk::State(id, by.clone())).await {
-            Some(Reply::State(StateReply::Known(state))) => return Answer::State(state),
-            Some(Reply::State(StateReply::Foreign)) => return Answer::Gone,
+        match self.ask(pool, PoolRequest::State(id, by.clone())).await {
+            Some(PeerReply::State(StateReply::Known(state))) => return Answer::State(state),
+            Some(PeerReply::State(StateReply::Foreign)) => return Answer::Gone,
             _ => {}
         }
         match self.stored_state(pool, id, by.as_ref()).await {
@@ -92,10 +92,10 @@
         until: Instant,
     ) -> Answer {
         loop {
-            match self.ask(pool, PoolAsk::Cancel(id, by.clone())).await {
-                Some(Reply::Cancel(CancelReply::Over)) => return Answer::Cancelled,
-                Some(Reply::Cancel(CancelReply::Foreign)) => return Answer::Gone,
-                Some(Reply::Cancel(CancelReply::Unknown)) => {
+            match self.ask(pool, PoolRequest::Cancel(id, by.clone())).await {
+                Some(PeerReply::Cancel(CancelReply::Over)) => return Answer::Cancelled,
+                Some(PeerReply::Cancel(CancelReply::Foreign)) => return Answer::Gone,
+                Some(PeerReply::Cancel(CancelReply::Unknown)) => {
                     if let Some(answer) = self.introduce(pool, id, by.as_ref()).await {
                         return answer;
                     }
@@ -135,7 +135,7 @@
                 match row.parse::<JobRecord>() {
                     Ok(record) => {
                         let job = Submitted { id, record, row: row.revision };
-                        self.ask(pool, PoolAsk::Submit(vec![job])).await;
+                        self.ask(pool, PoolRequest::Submit(vec![job])).await;
                     }
                     Err(error) => emit(Event::RowRefused, error),
                 }
@@ -152,8 +152,8 @@
     /// read all stored jobs instead would load the store by callers times jobs, most of all when owners are lost.
     async fn waiting(&self, queue: &Queue, until: Instant) -> Answer {
         loop {
-            let ask = PoolAsk::Waiting(queue.name.clone());
-            if let Some(Reply::Waiting(count)) = self.ask(&queue.pool, ask).await {
+            let request = PoolRequest::Waiting(queue.name.clone());
+            if let Some(PeerReply::Waiting(count)) = self.ask(&queue.pool, request).await {
                 return Answer::Waiting(count);
             }
             if Instant::now() + OWNER_PAUSE >= until {
@@ -179,8 +179,8 @@
         )
     }
 
-    async fn ask(&self, pool: &PoolName, ask: PoolAsk) -> Option<Reply> {
-        ask_pool(&self.0, pool, ask).await
+    async fn ask(&self, pool: &PoolName, request: PoolRequest) -> Option<PeerReply> {
+        ask_pool(&self.0, pool, request).await
     }
 
     async fn answer(&self, call: Call) -> Answer {
@@ -210,17 +210,17 @@
 }
 
 /// Asks the owner of a pool, here or at a peer; `None` if it can't be asked.
-pub async fn ask_pool(node: &Node, pool: &PoolName, ask: PoolAsk) -> Option<Reply> {
+pub async fn ask_pool(node: &Node, pool: &PoolName, request: PoolRequest) -> Option<PeerReply> {
     if let Some(owner) = node.local(pool) {
-        return Some(ask_owner(&owner, ask).await)
-            .filter(|reply| !matches!(reply, Reply::NotOwner));
+        return Some(ask_owner(&owner, request).await)
+            .filter(|reply| !matches!(reply, PeerReply::NotOwner));
     }
     let (owner, address) = node.view().owner(pool)?;
     if owner == node.settings.node {
         return None;
     }
-    match node.peers.ask(address, &Ask::Pool(pool.clone(), ask), OWNER_TIME).await {
-        Ok(Reply::NotOwner) => None,
+    match node.peers.ask(address, &PeerRequest::Pool(pool.clone(), request), OWNER_TIME).await {
+        Ok(PeerReply::NotOwner) => None,
         Ok(reply) => Some(reply),
         Err(error) => {
             log::info!("pool={pool} owner={owner} does not answer: {error}");
--- a/reachhead_node/src/membership.rs
+++ b/reachhead_node/src/membership.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     node::Node,
-    peer::{Ask, Reply},
+    peer::{PeerReply, PeerRequest},
     view::MemberView,
 };
 
@@ -137,9 +137,9 @@
     let members = node.view().members.clone();
     let asks = members.iter().filter(|(name, _)| **name != node.settings.node).map(
         |(name, member)| async {
-            let pong = node.peers.ask(member.record.address, &Ask::Ping, CHECK_TIME).await;
+            let pong = node.peers.ask(member.record.address, &PeerRequest::Ping, CHECK_TIME).await;
             // Another process may have got the address.
-            let lives = matches!(&pong, Ok(Reply::Pong(pong)) if pong.is_of(name));
+            let lives = matches!(&pong, Ok(PeerReply::Pong(pong)) if pong.is_of(name));
             (name.clone(), lives)
         },
     );
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -28,7 +28,7 @@
     frontend::ask_pool,
     mandate::Authority,
     node::Node,
-    peer::{PoolAsk, Reply},
+    peer::{PeerReply, PoolRequest},
 };
 
 /// How long an order counts before the platform's list shows it.
@@ -155,9 +155,9 @@
         }
         let asks = workers.into_iter().filter(|(_, workers)| !workers.is_empty()).map(
             |(pool, workers)| async move {
-                let ask = PoolAsk::VacateAll(workers.clone(), DrainMode::Graceful);
-                match ask_pool(&self.node, pool, ask).await {
-                    Some(Reply::Vacancies(told)) => workers
+                let request = PoolRequest::VacateAll(workers.clone(), DrainMode::Graceful);
+                match ask_pool(&self.node, pool, request).await {
+                    Some(PeerReply::Vacancies(told)) => workers
                         .into_iter()
                         .zip(told)
                         .filter(|(_, progress)| *progress == DrainProgress::Empty)
@@ -224,9 +224,9 @@
             return BTreeMap::new();
         };
         let asks = config.pools.values().map(|policy| async {
-            let ask = ask_pool(&self.node, &policy.name, PoolAsk::Load);
-            match time::timeout(LOAD_TIME, ask).await {
-                Ok(Some(Reply::Load(load))) => {
+            let request = ask_pool(&self.node, &policy.name, PoolRequest::Load);
+            match time::timeout(LOAD_TIME, request).await {
+                Ok(Some(PeerReply::Load(load))) => {
                     Some((policy.name.clone(), PoolState { load, spare: policy.spare }))
                 }
                 _ => None,
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -31,8 +31,8 @@
     admission::operator_changes,
     node::Node,
     owner::{CancelReply, Input, OwnerHandle},
-    registry::{self, WorkersAsk, WorkersPage},
-    relay::{self, TableAsk, TableReply},
+    registry::{self, WorkersPage, WorkersRequest},
+    relay::{self, TableReply, TableRequest},
     submit::{StoreOutcome, store_for_peer},
 };
 
@@ -42,7 +42,7 @@
 /// A question to a process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ask {
+pub enum PeerRequest {
     /// Which pools are you in charge of?
     Ping,
     /// Store these jobs of a pool that you own.
@@ -50,11 +50,11 @@
     /// What have operators written since?
     Operators(Revision),
     /// What do you know of a table?
-    Table(TableAsk),
+    Table(TableRequest),
     /// Which workers have registered?
-    Workers(WorkersAsk),
+    Workers(WorkersRequest),
     /// Something for the owner of a pool.
-    Pool(PoolName, PoolAsk),
+    Pool(PoolName, PoolRequest),
 }
 
 /// A job that is to be stored.
@@ -80,7 +80,7 @@
 /// A question to the owner of a pool.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum PoolAsk {
+pub enum PoolRequest {
     /// These jobs were accepted and are stored.
     Submit(Vec<Submitted>),
     /// What is the job's state, for this customer?
@@ -101,10 +101,10 @@
     Allot(Allotment),
 }
 
-/// The answer to an [`Ask`].
+/// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reply {
+pub enum PeerReply {
     /// What the process is in charge of, and how it reaches the store.
     Pong(Pong),
     /// The process is not in charge of the pool.
@@ -180,18 +180,18 @@
     pub async fn ask(
         &self,
         address: SocketAddr,
-        ask: &Ask,
+        request: &PeerRequest,
         deadline: Duration,
-    ) -> Result<Reply, CallError> {
+    ) -> Result<PeerReply, CallError> {
         let body =
-            serde_json::to_vec(ask).map_err(|error| CallError::NotSent(error.to_string()))?;
-        let request = Request::builder()
+            serde_json::to_vec(request).map_err(|error| CallError::NotSent(error.to_string()))?;
+        let http_request = Request::builder()
             .method(Method::POST)
             .uri(PATH)
             .header(header::HOST, address.to_string())
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
-        let answer = self.client.call(address, request, deadline).await?;
+        let answer = self.client.call(address, http_request, deadline).await?;
         serde_json::from_slice(answer.body())
             .map_err(|error| CallError::Lost(format!("unreadable answer: {error}")))
     }
@@ -201,16 +201,20 @@
 pub struct PeerHandler(pub Arc<Node>);
 
 impl PeerHandler {
-    async fn answer(&self, ask: Ask) -> Reply {
-        match ask {
-            Ask::Ping => self.pong(),
-            Ask::Operators(revision) => Reply::Operators(self.operators(revision).await),
-            Ask::Store(_, jobs) => Reply::Stored(store_for_peer(&self.0, jobs).await),
-            Ask::Workers(ask) => Reply::Workers(registry::answer(&self.0, ask).await),
-            Ask::Table(ask) => Reply::Table(relay::answer(&self.0, ask).await),
-            Ask::Pool(pool, ask) => match self.0.local(&pool) {
-                Some(owner) => ask_owner(&owner, ask).await,
-                None => Reply::NotOwner,
+    async fn answer(&self, request: PeerRequest) -> PeerReply {
+        match request {
+            PeerRequest::Ping => self.pong(),
+            PeerRequest::Operators(revision) => {
+                PeerReply::Operators(self.operators(revision).await)
+            }
+            PeerRequest::Store(_, jobs) => PeerReply::Stored(store_for_peer(&self.0, jobs).await),
+            PeerRequest::Workers(request) => {
+                PeerReply::Workers(registry::answer(&self.0, request).await)
+            }
+            PeerRequest::Table(request) => PeerReply::Table(relay::answer(&self.0, request).await),
+            PeerRequest::Pool(pool, request) => match self.0.local(&pool) {
+                Some(owner) => ask_owner(&owner, request).await,
+                None => PeerReply::NotOwner,
             },
         }
     }
@@ -223,7 +227,7 @@
         page.inspect_err(|error| log::info!("nothing can be told to a peer: {error}")).ok()
     }
 
-    fn pong(&self) -> Reply {
+    fn pong(&self) -> PeerReply {
         let mut owned = self.0.loading().clone();
         for (pool, owner) in self.0.owned().iter() {
             owned.insert(pool.clone(), owner.token);
@@ -231,7 +235,7 @@
         let now = self.0.now();
         let view = self.0.view();
         let store_age = now.since(view.store_seen).0;
-        Reply::Pong(Pong {
+        PeerReply::Pong(Pong {
             owned,
             store_age,
             failing: view.store_failing,
@@ -242,35 +246,35 @@
 }
 
 /// Asks an owner in this process.
-pub async fn ask_owner(owner: &OwnerHandle, ask: PoolAsk) -> Reply {
-    match ask {
-        PoolAsk::Submit(jobs) => {
+pub async fn ask_owner(owner: &OwnerHandle, request: PoolRequest) -> PeerReply {
+    match request {
+        PoolRequest::Submit(jobs) => {
             owner.send(Input::Submit(jobs));
-            Reply::Done
+            PeerReply::Done
         }
-        PoolAsk::Over(workers) => {
+        PoolRequest::Over(workers) => {
             owner.send(Input::Over(workers));
-            Reply::Done
+            PeerReply::Done
         }
-        PoolAsk::State(id, by) => {
-            answered(owner, |reply| Input::State(id, by, reply), Reply::State).await
+        PoolRequest::State(id, by) => {
+            answered(owner, |reply| Input::State(id, by, reply), PeerReply::State).await
         }
-        PoolAsk::Cancel(id, by) => {
-            answered(owner, |reply| Input::Cancel(id, by, reply), Reply::Cancel).await
+        PoolRequest::Cancel(id, by) => {
+            answered(owner, |reply| Input::Cancel(id, by, reply), PeerReply::Cancel).await
         }
-        PoolAsk::Waiting(queue) => {
-            answered(owner, |reply| Input::Waiting(queue, reply), Reply::Waiting).await
+        PoolRequest::Waiting(queue) => {
+            answered(owner, |reply| Input::Waiting(queue, reply), PeerReply::Waiting).await
         }
-        PoolAsk::Allot(allotment) => {
-            answered(owner, |reply| Input::Allot(allotment, reply), Reply::Statement).await
+        PoolRequest::Allot(allotment) => {
+            answered(owner, |reply| Input::Allot(allotment, reply), PeerReply::Statement).await
         }
-        PoolAsk::Load => answered(owner, Input::Load, Reply::Load).await,
-        PoolAsk::VacateAll(workers, mode) => {
+        PoolRequest::Load => answered(owner, Input::Load, PeerReply::Load).await,
+        PoolRequest::VacateAll(workers, mode) => {
             let input = |reply| Input::VacateAll(workers, mode, reply);
-            answered(owner, input, Reply::Vacancies).await
+            answered(owner, input, PeerReply::Vacancies).await
         }
-        PoolAsk::Vacate(worker, mode) => {
-            answered(owner, |reply| Input::Vacate(worker, mode, reply), Reply::Vacancy).await
+        PoolRequest::Vacate(worker, mode) => {
+            answered(owner, |reply| Input::Vacate(worker, mode, reply), PeerReply::Vacancy).await
         }
     }
 }
@@ -278,19 +282,19 @@
 async fn answered<T>(
     owner: &OwnerHandle,
     input: impl FnOnce(oneshot::Sender<T>) -> Input,
-    reply: impl FnOnce(T) -> Reply,
-) -> Reply {
+    reply: impl FnOnce(T) -> PeerReply,
+) -> PeerReply {
     let (sender, receiver) = oneshot::channel();
     owner.send(input(sender));
     // An owner that ends drops its questions.
-    receiver.await.map_or(Reply::NotOwner, reply)
+    receiver.await.map_or(PeerReply::NotOwner, reply)
 }
 
 impl Handler for PeerHandler {
     fn handle(&self, request: WholeRequest) -> BoxFuture<'_, WholeResponse> {
         async move {
-            match serde_json::from_slice::<Ask>(&request.body) {
-                Ok(ask) => http::json(StatusCode::OK, &self.answer(ask).await),
+            match serde_json::from_slice::<PeerRequest>(&request.body) {
+                Ok(request) => http::json(StatusCode::OK, &self.answer(request).await),
                 Err(error) => http::text(StatusCode::BAD_REQUEST, &error.to_string()),
             }
         }
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -21,7 +21,7 @@
     fleet,
     lock::locked,
     node::Node,
-    peer::{Ask, Reply},
+    peer::{PeerReply, PeerRequest},
     relay,
 };
 
@@ -48,7 +48,7 @@
 
 /// A question for the workers of some pools.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct WorkersAsk {
+pub struct WorkersRequest {
     /// The pools.
     pub pools: Vec<PoolName>,
     /// Up to where they are known; `None` asks for all of them.
@@ -141,7 +141,9 @@
         let after = known.as_ref().filter(|(of, _)| *of == pools).map(|(_, position)| *position);
         let source = node.view().owner(&fleet::name()).map(|(_, address)| address);
         let page = match source {
-            Some(source) => ask(&node, source, WorkersAsk { pools: pools.clone(), after }).await,
+            Some(source) => {
+                ask(&node, source, WorkersRequest { pools: pools.clone(), after }).await
+            }
             None => None,
         };
         match page {
@@ -170,10 +172,10 @@
     }
 }
 
-async fn ask(node: &Node, source: SocketAddr, ask: WorkersAsk) -> Option<WorkersPage> {
+async fn ask(node: &Node, source: SocketAddr, request: WorkersRequest) -> Option<WorkersPage> {
     let wait = WAIT.duration() + ANSWER_TIME;
-    match node.peers.ask(source, &Ask::Workers(ask), wait).await {
-        Ok(Reply::Workers(page)) => page,
+    match node.peers.ask(source, &PeerRequest::Workers(request), wait).await {
+        Ok(PeerReply::Workers(page)) => page,
         Ok(_) => None,
         Err(error) => {
             log::info!("workers are not told by {source}: {error}");
@@ -207,7 +209,7 @@
 }
 
 /// Answers an owner of pools; `None` if this process does not follow the workers closely enough itself.
-pub async fn answer(node: &Node, ask: WorkersAsk) -> Option<WorkersPage> {
+pub async fn answer(node: &Node, request: WorkersRequest) -> Option<WorkersPage> {
     let mut changed = node.registry.changed.subscribe();
     let begun = node.now();
     loop {
@@ -216,7 +218,7 @@
         if !node.owned().contains_key(&fleet::name()) || !node.view().workers_known || !fresh {
             return None;
         }
-        let page = page(node, &ask);
+        let page = page(node, &request);
         let held = now.since(begun);
         if page.whole || !page.changes.is_empty() || held >= WAIT {
             return Some(page);
@@ -227,12 +229,12 @@
     }
 }
 
-fn page(node: &Node, ask: &WorkersAsk) -> WorkersPage {
+fn page(node: &Node, request: &WorkersRequest) -> WorkersPage {
     let view = node.view();
     let log = locked(&node.registry.log);
     let position = Position { epoch: node.registry.epoch, version: log.version() };
-    let after = ask.after.filter(|after| after.epoch == position.epoch);
-    let own = |pool: &PoolName| ask.pools.contains(pool);
+    let after = request.after.filter(|after| after.epoch == position.epoch);
+    let own = |pool: &PoolName| request.pools.contains(pool);
     if let Some(newer) = after.and_then(|after| log.since(after.version)) {
         // A worker may have come from another pool, so those that are elsewhere now are gone here.
         let told = |change: &WorkerChange| WorkerChange {
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -27,7 +27,7 @@
     follow::LEASE_TABLE,
     lock::locked,
     node::Node,
-    peer::{Ask, Reply},
+    peer::{PeerReply, PeerRequest},
 };
 
 /// How long a member may hold a question until something changes.
@@ -44,7 +44,7 @@
 
 /// A question for a table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TableAsk {
+pub struct TableRequest {
     /// The table.
     pub table: String,
     /// Up to where it is known; `None` asks for all of it.
@@ -127,10 +127,10 @@
     }
 
     /// Returns what is known of a table beyond a revision, and since when that may be old.
-    fn known(&self, ask: &TableAsk, table: &str) -> Option<(Option<FeedPage>, Tick)> {
+    fn known(&self, request: &TableRequest, table: &str) -> Option<(Option<FeedPage>, Tick)> {
         let tables = locked(&self.tables);
         let passed = tables.get(table)?;
-        let page = match ask.after {
+        let page = match request.after {
             Some(after) => passed.log.since(after),
             None => Some(passed.log.whole()),
         };
@@ -205,10 +205,10 @@
     wait: Millis,
 ) -> Option<TableReply> {
     let source = source(node)?;
-    let question = Ask::Table(TableAsk { table: table.to_owned(), after, wait });
+    let question = PeerRequest::Table(TableRequest { table: table.to_owned(), after, wait });
     let deadline = wait.duration() + ANSWER_TIME;
     let reply = match node.peers.ask(source, &question, deadline).await {
-        Ok(Reply::Table(reply)) => Some(reply),
+        Ok(PeerReply::Table(reply)) => Some(reply),
         Ok(_) => None,
         Err(error) => {
             log::info!("table={table} is not told by {source}: {error}");
@@ -233,25 +233,25 @@
 }
 
 /// Answers a process that asks for a table.
-pub async fn answer(node: &Arc<Node>, ask: TableAsk) -> TableReply {
+pub async fn answer(node: &Arc<Node>, request: TableRequest) -> TableReply {
     let row_format = &node.services.row_format;
     let tables = [row_format.operator_table(), LEASE_TABLE];
-    let Some(table) = tables.into_iter().find(|table| *table == ask.table) else {
+    let Some(table) = tables.into_iter().find(|table| *table == request.table) else {
         return TableReply::Unknown;
     };
     if is_relieved(node) {
         return TableReply::Unknown;
     }
-    let wait = ask.wait.min(WAIT);
+    let wait = request.wait.min(WAIT);
     let mut changed = node.relay.changed.subscribe();
-    if node.relay.known(&ask, table).is_none() {
+    if node.relay.known(&request, table).is_none() {
         begin(node, table).await;
     }
     let begun = node.now();
     loop {
         let now = node.now();
         let held = now.since(begun);
-        let Some((page, seen)) = node.relay.known(&ask, table) else {
+        let Some((page, seen)) = node.relay.known(&request, table) else {
             return TableReply::Unknown;
         };
         let age = now.since(seen);
@@ -261,7 +261,7 @@
         let Some(page) = page else {
             return TableReply::Forgotten;
         };
-        if !page.changes.is_empty() || ask.after.is_none() || held >= wait {
+        if !page.changes.is_empty() || request.after.is_none() || held >= wait {
             return TableReply::Page { page, held: held.0, age: age.0 };
         }
         let left = Millis(wait.0 - held.0).duration();
--- a/reachhead_node/src/relief.rs
+++ b/reachhead_node/src/relief.rs
@@ -16,7 +16,7 @@
     fleet,
     node::Node,
     owner::{Input, OwnerHandle},
-    peer::{Ask, Reply},
+    peer::{PeerReply, PeerRequest},
 };
 
 /// How often a process compares what it bears with its peers.
@@ -99,8 +99,8 @@
 
 /// Tells whether the process lives, is quick and reaches the store.
 async fn answers(node: &Node, successor: &Successor) -> bool {
-    let pong = node.peers.ask(successor.address, &Ask::Ping, ANSWER_TIME).await;
-    matches!(pong, Ok(Reply::Pong(pong)) if pong.store_age <= STORE_AGE)
+    let pong = node.peers.ask(successor.address, &PeerRequest::Ping, ANSWER_TIME).await;
+    matches!(pong, Ok(PeerReply::Pong(pong)) if pong.store_age <= STORE_AGE)
 }
 
 async fn hand_over(pool: &PoolName, handle: &OwnerHandle, successor: &Successor) {
--- a/reachhead_node/src/sight.rs
+++ b/reachhead_node/src/sight.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     node::Node,
-    peer::{Ask, Reply},
+    peer::{PeerReply, PeerRequest},
     view::{Heard, View},
 };
 
@@ -61,7 +61,7 @@
 
 /// Asks a peer what it owns, and remembers what it says.
 async fn ask(node: &Node, peer: NodeName, address: SocketAddr, wait: Duration) {
-    if let Ok(Reply::Pong(pong)) = node.peers.ask(address, &Ask::Ping, wait).await {
+    if let Ok(PeerReply::Pong(pong)) = node.peers.ask(address, &PeerRequest::Ping, wait).await {
         let heard = Heard { at: node.now(), address, pong };
         node.view().heard.insert(peer, heard);
     }
--- a/reachhead_node/src/submit/mod.rs
+++ b/reachhead_node/src/submit/mod.rs
@@ -39,7 +39,7 @@
 use crate::{
     frontend::ask_pool,
     node::Node,
-    peer::{PoolAsk, Submitted},
+    peer::{PoolRequest, Submitted},
 };
 
 /// Jobs in one transaction at most: each takes three of the hundred entries that the platform allows.
@@ -326,7 +326,7 @@
 /// Tells the owner of a pool of jobs; if that fails, it finds them in the store.
 async fn notify(node: Arc<Node>, pool: PoolName, jobs: Vec<Submitted>) {
     for _ in 0..NOTIFY_TRIES {
-        if ask_pool(&node, &pool, PoolAsk::Submit(jobs.clone())).await.is_some() {
+        if ask_pool(&node, &pool, PoolRequest::Submit(jobs.clone())).await.is_some() {
             return;
         }
         time::sleep(NOTIFY_PAUSE).await;
--- a/reachhead_node/src/submit/peers.rs
+++ b/reachhead_node/src/submit/peers.rs
@@ -12,7 +12,7 @@
 use super::{Submission, refuse};
 use crate::{
     node::Node,
-    peer::{Ask, Reply, Unstored},
+    peer::{PeerReply, PeerRequest, Unstored},
     sight,
 };
 
@@ -101,10 +101,10 @@
     let jobs = batch
         .iter()
         .map(|submission| Unstored { id: submission.id, record: submission.record.clone() });
-    let ask = Ask::Store(pool.clone(), jobs.collect());
+    let request = PeerRequest::Store(pool.clone(), jobs.collect());
     let begun = Instant::now();
-    let outcomes = match node.peers.ask(owner, &ask, HAND_ON_TIME).await {
-        Ok(Reply::Stored(outcomes)) if outcomes.len() == batch.len() => outcomes,
+    let outcomes = match node.peers.ask(owner, &request, HAND_ON_TIME).await {
+        Ok(PeerReply::Stored(outcomes)) if outcomes.len() == batch.len() => outcomes,
         Ok(_) => vec![StoreOutcome::Unknown; batch.len()],
         Err(CallError::NotSent(error) | CallError::NoListener(error)) => {
             log::info!("pool={pool} owner={owner} was not asked: {error}");
