--- a/reachhead_control/src/gossip.rs
+++ b/reachhead_control/src/gossip.rs
@@ -5,10 +5,10 @@
 use log::debug;
 use rand::seq::IndexedRandom;
 use reachhead_link::{
-    client::Asker,
+    client::LinkClient,
     message::{ControlReply, ControlRequest, GossipReply},
 };
-use reachhead_types::{moment::Moment, size::Millis};
+use reachhead_types::{boot_instant::BootInstant, size::Millis};
 
 use crate::view::{Round, View, Witness};
 
@@ -28,17 +28,17 @@
 /// Speaks with peers, on a thread of its own.
 pub struct Gossiper {
     view: Arc<View>,
-    asker: Asker<ControlRequest, ControlReply>,
+    client: LinkClient<ControlRequest, ControlReply>,
     seeds: Vec<SocketAddr>,
     period: Duration,
     /// When peers last left a question without an answer.
-    silent: BTreeMap<SocketAddr, Moment>,
+    silent: BTreeMap<SocketAddr, BootInstant>,
 }
 
 impl Gossiper {
     /// Returns a gossiper with a round each `period`; `seeds` serve until peers are known.
     pub fn new(view: Arc<View>, seeds: Vec<SocketAddr>, period: Duration) -> Self {
-        Self { view, asker: Asker::new(ASK_TIME), seeds, period, silent: BTreeMap::new() }
+        Self { view, client: LinkClient::new(ASK_TIME), seeds, period, silent: BTreeMap::new() }
     }
 
     /// Speaks with peers for as long as the process lives.
@@ -64,8 +64,8 @@
                 list: round.list,
                 hosts: self.view.hosts_revision(),
             };
-            let asked = Moment::now();
-            match self.asker.ask(peer, &request) {
+            let asked = BootInstant::now();
+            match self.client.ask(peer, &request) {
                 Ok(ControlReply::Gossip(reply)) => {
                     self.silent.remove(&peer);
                     self.learn(peer, *reply, asked);
@@ -73,7 +73,7 @@
                 Ok(_) => debug!("gossip with {peer}: an answer to another question"),
                 Err(error) => {
                     debug!("gossip with {peer}: {error}");
-                    self.silent.insert(peer, Moment::now());
+                    self.silent.insert(peer, BootInstant::now());
                 }
             }
         }
@@ -90,7 +90,7 @@
         if answering.is_empty() { peers } else { answering }
     }
 
-    fn learn(&self, peer: SocketAddr, reply: GossipReply, asked: Moment) {
+    fn learn(&self, peer: SocketAddr, reply: GossipReply, asked: BootInstant) {
         let age = reply.age.map(Millis::duration);
         let witness = Witness { is_blind: reply.is_blind, age };
         self.view.learn_list(reply.list, witness, asked);
--- a/reachhead_node/src/fleet/lives.rs
+++ b/reachhead_node/src/fleet/lives.rs
@@ -5,15 +5,15 @@
 use futures::future::join_all;
 use reachhead_jobs::{
     clock::Tick,
-    lives::{self, Deserted},
-    ports::{Machine, MachineState},
+    dead_workers::{self, UnreachableWorker},
+    ports::{PlatformHost, PlatformHostState},
 };
 use reachhead_types::{
     id::{HostId, PoolName, WorkerId},
     size::{Millis, Revision},
 };
 
-use crate::{frontend::ask_pool, node::Node, peer::PoolAsk};
+use crate::{frontend::ask_pool, node::Node, peer::PoolRequest};
 
 /// How long successors of a pool's owner are told that a life of a worker is over: longer than they would wait
 /// for its leases to lapse.
@@ -72,16 +72,18 @@
     /// it: an order is also answered with success when it had been carried out before, and the host has a new life since.
     pub fn settle(
         &mut self,
-        machines: &BTreeMap<HostId, Machine>,
-        deserted: &[Deserted],
+        machines: &BTreeMap<HostId, PlatformHost>,
+        unreachable: &[UnreachableWorker],
         now: Tick,
     ) -> Vec<HostId> {
-        for Deserted { pool, worker } in lives::ended(deserted, machines) {
+        for UnreachableWorker { pool, worker } in dead_workers::dead_workers(unreachable, machines)
+        {
             self.note_ended(pool.clone(), worker.clone(), now);
         }
         let over = |host: &HostId, order: &OpenOrder| {
             machines.get(host).is_none_or(|machine| {
-                machine.state != MachineState::Up || machine.worker.as_ref() != Some(&order.worker)
+                machine.state != PlatformHostState::Up
+                    || machine.worker.as_ref() != Some(&order.worker)
             })
         };
         let hosts = self.open.iter().filter(|(host, order)| over(host, order));
@@ -118,7 +120,7 @@
         }
         let asks = news.into_iter().map(|(pool, workers)| async {
             let current = lease(&pool)?;
-            ask_pool(&node, &pool, PoolAsk::Over(workers)).await?;
+            ask_pool(&node, &pool, PoolRequest::Over(workers)).await?;
             Some((pool, current))
         });
         let told: BTreeMap<PoolName, Revision> =
--- a/reachhead_pool/src/controller/mod.rs
+++ b/reachhead_pool/src/controller/mod.rs
@@ -21,9 +21,9 @@
     row::Row,
 };
 use reachhead_types::{
+    boot_instant::BootInstant,
     id::{HostId, PoolName},
     member::MemberId,
-    moment::Moment,
     pool::{HostPhase, WaveRow},
     size::{Epoch, Revision},
 };
@@ -81,9 +81,9 @@
 struct Tracked {
     host: Host,
     /// Since when it has been seen drained, by this process's clock.
-    drained_since: Option<Moment>,
+    drained_since: Option<BootInstant>,
     /// Since when a budget that it spends has been seen overspent.
-    overspent_since: Option<Moment>,
+    overspent_since: Option<BootInstant>,
 }
 
 /// A pool in charge, for operators.
@@ -101,7 +101,7 @@
 
 /// How long things take.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct ControllerLimits {
     /// How long a host must be seen drained before it counts as empty.
     pub drain: Duration,
     /// How long an owner that is there may take to hand a pool over.
@@ -116,20 +116,24 @@
 pub struct Controller {
     store: Arc<dyn Store>,
     platform: Arc<dyn Platform>,
-    terms: Terms,
+    limits: ControllerLimits,
     held: BTreeMap<PoolName, Held>,
     /// Since when pools that should be this host's have been others'.
-    awaited: BTreeMap<PoolName, Moment>,
+    awaited: BTreeMap<PoolName, BootInstant>,
     events: Vec<PoolEvent>,
 }
 
 impl Controller {
     /// Returns a controller that is in charge of nothing yet.
-    pub fn new(store: Arc<dyn Store>, platform: Arc<dyn Platform>, terms: Terms) -> Self {
+    pub fn new(
+        store: Arc<dyn Store>,
+        platform: Arc<dyn Platform>,
+        limits: ControllerLimits,
+    ) -> Self {
         Self {
             store,
             platform,
-            terms,
+            limits,
             held: BTreeMap::new(),
             awaited: BTreeMap::new(),
             events: Vec::new(),
@@ -239,7 +243,7 @@
         is_overspent: bool,
         confirm: Duration,
     ) -> Observation {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let is_drained = status.as_ref().is_some_and(HostStatus::is_drained);
         self.drained_since = is_drained.then(|| self.drained_since.unwrap_or(now));
         self.overspent_since = is_overspent.then(|| self.overspent_since.unwrap_or(now));
