--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -64,12 +64,12 @@
 
 /// Lets calls in.
 #[derive(Debug, Default)]
-pub struct Door {
+pub struct AdmissionControl {
     last: Mutex<Look>,
 }
 
-impl Door {
-    /// Returns a door that has looked at nothing.
+impl AdmissionControl {
+    /// Returns an admission control that has not read the configuration yet.
     pub fn new() -> Self {
         Self::default()
     }
@@ -146,7 +146,7 @@
     async fn retry(node: Arc<Node>) {
         let begun = node.now();
         let failed = refresh(&node).await.err();
-        let mut last = node.door.last.lock().await;
+        let mut last = node.admission.last.lock().await;
         if last.begun <= begun || failed.is_none() {
             *last = Look { begun, failed };
         }
@@ -166,7 +166,7 @@
         let age = node.now().since(node.view().config_seen);
         if age > config_age(&node)
             && !node.owned().is_empty()
-            && let Some(error) = node.door.look(&node).await
+            && let Some(error) = node.admission.look(&node).await
         {
             log::info!("what operators wrote is known as of {age} ms ago: {error}");
         }
--- a/reachhead_node/src/claims.rs
+++ b/reachhead_node/src/election.rs
@@ -63,7 +63,7 @@
 
 /// Takes pools for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
-    let mut claims = Claims {
+    let mut election = Election {
         started: node.now(),
         watching: node.now(),
         vacant: BTreeMap::new(),
@@ -75,13 +75,13 @@
     };
     loop {
         time::sleep(LOOK_PERIOD).await;
-        if !claims.node.is_stopping() {
-            claims.look();
+        if !election.node.is_stopping() {
+            election.look();
         }
     }
 }
 
-struct Claims {
+struct Election {
     node: Arc<Node>,
     started: Tick,
     /// Since when this process watches the owners; what it did not hear before tells nothing of them.
@@ -100,13 +100,13 @@
     late: Tick,
 }
 
-impl Claims {
+impl Election {
     fn look(&mut self) {
         let now = self.node.now();
         if now.since(std::mem::replace(&mut self.last, now)) >= LATE_GAP {
             self.late = now;
         }
-        if !self.node.view().watches(&self.node.settings.node, now) {
+        if !self.node.view().is_watching_owners(&self.node.settings.node, now) {
             self.watching = now;
         }
         self.claiming.retain(|_, claim| !claim.is_finished());
@@ -181,19 +181,19 @@
         if *owner == node.settings.node {
             return true;
         }
-        let heard = view.heard.get(owner);
-        let last = heard.map_or(Tick(0), |heard| heard.at).max(lease.since).max(self.started);
+        let status = view.peers.get(owner);
+        let last = status.map_or(Tick(0), |status| status.at).max(lease.since).max(self.started);
         let last = last.max(self.late).max(self.watching);
         if now.since(last) > SILENT_TIME {
             return true;
         }
-        let Some(heard) = heard.filter(|heard| heard.at > lease.since) else {
+        let Some(status) = status.filter(|status| status.at > lease.since) else {
             return false;
         };
-        let absent = heard.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
+        let absent = status.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
         let unowned = absent && now.since(lease.since) > SILENT_TIME;
         let reachability =
-            StoreReachability { age: Millis(heard.pong.store_age), failing: heard.pong.failing };
+            StoreReachability { age: Millis(status.pong.store_age), failing: status.pong.failing };
         let cut_off = reachability.is_cut_off(now.since(view.store_since));
         unowned || cut_off
     }
@@ -226,9 +226,9 @@
     };
     let now = node.now();
     let view = node.view();
-    let ended = view.heard.get(owner).is_some_and(|heard| {
-        let absent = heard.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
-        absent && heard.at > lease.since
+    let ended = view.peers.get(owner).is_some_and(|status| {
+        let absent = status.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
+        absent && status.at > lease.since
     });
     if ended && now.since(lease.since) >= timeouts.takeover_delay() {
         with_drift(timeouts.hold)
--- a/reachhead_node/src/sight.rs
+++ b/reachhead_node/src/failure_detector.rs
@@ -17,7 +17,7 @@
 use crate::{
     node::Node,
     peer::{PeerReply, PeerRequest},
-    view::{Heard, View},
+    view::{PeerStatus, View},
 };
 
 /// How often a process that watches the owners asks them.
@@ -55,15 +55,15 @@
             let node = Arc::clone(&node);
             tokio::spawn(async move { ask(&node, peer, address, ANSWER_TIME).await });
         }
-        node.view().heard.retain(|_, heard| now.since(heard.at) < HEARD_TIME);
+        node.view().peers.retain(|_, status| now.since(status.at) < HEARD_TIME);
     }
 }
 
 /// Asks a peer what it owns, and remembers what it says.
 async fn ask(node: &Node, peer: NodeName, address: SocketAddr, wait: Duration) {
     if let Ok(PeerReply::Pong(pong)) = node.peers.ask(address, &PeerRequest::Ping, wait).await {
-        let heard = Heard { at: node.now(), address, pong };
-        node.view().heard.insert(peer, heard);
+        let status = PeerStatus { at: node.now(), address, pong };
+        node.view().peers.insert(peer, status);
     }
 }
 
@@ -73,11 +73,11 @@
     let away = node.outage().is_some();
     let view = node.view();
     let mut asked = BTreeMap::new();
-    if view.watches(own, now) || away {
+    if view.is_watching_owners(own, now) || away {
         asked.extend(view.leases.keys().filter_map(|pool| view.owner(pool)));
     }
     // After an answer that does not come the next member is asked at once.
-    let relieved = view.relief(now).is_some_and(|at| now.since(at) < MEMBER_PERIOD);
+    let relieved = view.last_member_contact(now).is_some_and(|at| now.since(at) < MEMBER_PERIOD);
     if !view.members.contains_key(own) && (*member_next <= now || !relieved) {
         *member_next = now + MEMBER_PERIOD;
         asked.extend(random_members(&view, own, 1));
@@ -97,27 +97,27 @@
 
 impl View {
     /// Tells whether this process has to notice itself that an owner is gone: it is a member, or no member tells that it would.
-    pub fn watches(&self, own: &NodeName, now: Tick) -> bool {
-        self.members.contains_key(own) || self.relief(now).is_none()
+    pub fn is_watching_owners(&self, own: &NodeName, now: Tick) -> bool {
+        self.members.contains_key(own) || self.last_member_contact(now).is_none()
     }
 
     /// Returns when a member last said, lately enough, that it is there and reaches the store.
-    fn relief(&self, now: Tick) -> Option<Tick> {
-        let able = |heard: &&Heard| {
-            let pong = &heard.pong;
+    fn last_member_contact(&self, now: Tick) -> Option<Tick> {
+        let able = |status: &&PeerStatus| {
+            let pong = &status.pong;
             !pong.stopping && !pong.failing && pong.store_age <= MEMBER_STORE_AGE.0
         };
-        let lately = |heard: &&Heard| now.since(heard.at) <= MEMBER_TIME;
-        let members = self.heard.iter().filter(|(name, _)| self.members.contains_key(*name));
-        members.map(|(_, heard)| heard).filter(able).filter(lately).map(|heard| heard.at).max()
+        let lately = |status: &&PeerStatus| now.since(status.at) <= MEMBER_TIME;
+        let members = self.peers.iter().filter(|(name, _)| self.members.contains_key(*name));
+        members.map(|(_, status)| status).filter(able).filter(lately).map(|status| status.at).max()
     }
 }
 
 /// Asks the owner of a pool whether it lives, if this process does not watch the owners.
-pub async fn look(node: &Node, pool: &PoolName) {
+pub async fn check_owner(node: &Node, pool: &PoolName) {
     let owner = {
         let view = node.view();
-        if view.watches(&node.settings.node, node.now()) {
+        if view.is_watching_owners(&node.settings.node, node.now()) {
             return;
         }
         view.owner(pool)
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -33,12 +33,12 @@
     waves::Held,
 };
 use crate::{
-    claims,
-    mandate::Authority,
+    election,
     moves::Moves,
     node::Node,
+    order_permit::PermitIssuer,
     owner::{Input, OwnerHandle},
-    view::{Heard, LeaseView},
+    view::{LeaseView, PeerStatus},
 };
 
 /// How often waves and pools are looked at.
@@ -51,15 +51,16 @@
     };
     let view = node.view();
     let owner = lease.record.owner.as_ref();
-    let heard = owner.and_then(|owner| view.heard.get(owner));
-    let denies =
-        |heard: &&Heard| heard.pong.owned.get(&name()).is_none_or(|token| *token < lease.revision);
+    let status = owner.and_then(|owner| view.peers.get(owner));
+    let denies = |status: &&PeerStatus| {
+        status.pong.owned.get(&name()).is_none_or(|token| *token < lease.revision)
+    };
     let previous = PreviousHolder {
         record: &lease.record,
         since: lease.since,
         observed: view.leases_read.is_some_and(|first| lease.since > first),
         own: owner == Some(&node.settings.node),
-        denied: heard.filter(denies).map(|heard| heard.at),
+        denied: status.filter(denies).map(|status| status.at),
     };
     let checked = node.settings.machines.is_none_or(|machines| machines.fenced);
     previous.takeover_wait(node.now(), node.settings.duty, checked)
@@ -93,7 +94,8 @@
         format_args!("pool={} token={token} term={}", name(), lease.record.term),
     );
     let quiet = takeover_wait(&node, before.as_ref());
-    let authority = Arc::new(Authority::new(Arc::clone(&node), name(), FencingToken(token.0)));
+    let permit_issuer =
+        Arc::new(PermitIssuer::new(Arc::clone(&node), name(), FencingToken(token.0)));
     let mut fleet = Fleet {
         begin: node.now() + quiet,
         node: Arc::clone(&node),
@@ -104,13 +106,13 @@
         lives: Lives::new(Arc::clone(&node)),
         memory: Memory::default(),
         restarted: BTreeSet::new(),
-        moves: Moves::new(Arc::clone(&node), Arc::clone(&authority)),
-        authority,
+        moves: Moves::new(Arc::clone(&node), Arc::clone(&permit_issuer)),
+        permit_issuer,
         fenced: false,
     };
     tokio::spawn(quotas::run(Arc::clone(&fleet.node), token));
     fleet.run(inputs).await;
-    claims::release(&node, &name(), token);
+    election::release(&node, &name(), token);
 }
 
 struct Fleet {
@@ -125,7 +127,7 @@
     /// Hosts whose worker ended after an order, though the order was not answered yet.
     restarted: BTreeSet<HostId>,
     moves: Moves,
-    authority: Arc<Authority>,
+    permit_issuer: Arc<PermitIssuer>,
     fenced: bool,
 }
 
@@ -152,7 +154,7 @@
     fn in_charge(&self) -> bool {
         let view = self.node.view();
         let named = view.leases.get(&name()).is_none_or(|lease| lease.revision <= self.token);
-        named && !self.authority.is_lost()
+        named && !self.permit_issuer.is_lost()
     }
 
     async fn round(&mut self) {
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -15,7 +15,7 @@
 
 use super::name;
 use crate::{
-    claims::{HOLD_MOST, TRUST_TIME},
+    election::{HOLD_MOST, TRUST_TIME},
     frontend::ask_pool,
     node::Node,
     peer::{PeerReply, PoolRequest},
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -156,9 +156,9 @@
         let Some(api) = self.node.services.machines.clone() else {
             return false;
         };
-        let authority = &self.authority;
+        let permit_issuer = &self.permit_issuer;
         let orders = taken.iter().map(|taken| async {
-            match authority.permit().await {
+            match permit_issuer.permit().await {
                 Some(permit) => api.maintain(permit, taken.host.clone(), name.clone()).await,
                 None => Err(HostOrderError::NotDone("the lease is not confirmed".to_owned())),
             }
--- a/reachhead_node/src/frontend.rs
+++ b/reachhead_node/src/frontend.rs
@@ -168,14 +168,14 @@
         let now = self.0.now();
         let view = self.0.view();
         let owner = view.owner(pool).map(|(owner, _)| owner);
-        let heard = owner.as_ref().and_then(|owner| view.heard.get(owner));
+        let status = owner.as_ref().and_then(|owner| view.peers.get(owner));
         format!(
             "store_age={}ms store_failing={} owner={} owner_heard={:?} owner_store_age={:?}",
             now.since(view.store_seen),
             view.store_failing,
             owner.as_ref().map_or("-", |owner| owner.as_str()),
-            heard.map(|heard| now.since(heard.at).0),
-            heard.map(|heard| heard.pong.store_age)
+            status.map(|status| now.since(status.at).0),
+            status.map(|status| status.pong.store_age)
         )
     }
 
@@ -245,7 +245,7 @@
         path: &'a str,
         key: Option<&'a KeyDigest>,
     ) -> BoxFuture<'a, Result<Admission, ErrorKind>> {
-        self.0.door.admit(&self.0, host, path, key).boxed()
+        self.0.admission.admit(&self.0, host, path, key).boxed()
     }
 
     fn call(&self, call: Call) -> BoxFuture<'_, Answer> {
@@ -287,9 +287,9 @@
 
     fn is_ready(&self) -> bool {
         let view = self.0.view();
-        let heard = self.0.now().since(view.store_seen) <= STORE_AGE;
+        let store_reachable = self.0.now().since(view.store_seen) <= STORE_AGE;
         // Without a peer it could serve nobody once the store turns it away.
         let accompanied = !view.members.is_empty();
-        view.config.is_some() && heard && accompanied && !self.0.is_stopping()
+        view.config.is_some() && store_reachable && accompanied && !self.0.is_stopping()
     }
 }
--- a/reachhead_node/src/main.rs
+++ b/reachhead_node/src/main.rs
@@ -1,25 +1,25 @@
 //! `reachhead-node`: the process that runs on each entry host of the users' platform.
 
 mod admission;
-mod claims;
 mod clock;
+mod election;
+mod failure_detector;
 mod fleet;
 mod follow;
 mod frontend;
+mod handover;
 mod lock;
-mod mandate;
 mod membership;
 mod metrics;
 mod moves;
 mod node;
 mod observe;
+mod order_permit;
 mod owner;
 mod peer;
 mod process;
 mod registry;
 mod relay;
-mod relief;
-mod sight;
 mod submit;
 mod takeover;
 mod view;
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -26,8 +26,8 @@
 
 use crate::{
     frontend::ask_pool,
-    mandate::Authority,
     node::Node,
+    order_permit::PermitIssuer,
     peer::{PeerReply, PoolRequest},
 };
 
@@ -70,7 +70,7 @@
 /// The moves of hosts that are under way.
 pub struct Moves {
     node: Arc<Node>,
-    authority: Arc<Authority>,
+    permit_issuer: Arc<PermitIssuer>,
     balance: Balance,
     ordered: BTreeMap<HostId, Ordered>,
     /// When the last round looked at the pools.
@@ -86,11 +86,11 @@
 
 impl Moves {
     /// Returns no moves, which will be ordered on this authority.
-    pub fn new(node: Arc<Node>, authority: Arc<Authority>) -> Self {
+    pub fn new(node: Arc<Node>, permit_issuer: Arc<PermitIssuer>) -> Self {
         let last = node.now();
         Self {
             node,
-            authority,
+            permit_issuer,
             balance: Balance::new(),
             ordered: BTreeMap::new(),
             last,
@@ -237,7 +237,7 @@
 
     async fn carry_out(&self, step: Move) -> Option<Moved> {
         let api: &Arc<dyn HostApi> = self.node.services.machines.as_ref()?;
-        let permit = self.authority.permit().await?;
+        let permit = self.permit_issuer.permit().await?;
         let result = api.relocate(permit, step.host.clone(), step.to.clone()).await;
         emit(
             Event::HostOrdered,
--- a/reachhead_node/src/node.rs
+++ b/reachhead_node/src/node.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{Notify, watch};
 
 use crate::{
-    admission::Door, clock::Clock, lock::locked, metrics::Metrics, owner::OwnerHandle,
+    admission::AdmissionControl, clock::Clock, lock::locked, metrics::Metrics, owner::OwnerHandle,
     peer::PeerClient, registry::Registry, relay::Relay, submit::Submitter, view::View,
 };
 
@@ -68,7 +68,7 @@
     /// Its peers.
     pub peers: PeerClient,
     /// What lets callers in.
-    pub door: Door,
+    pub admission: AdmissionControl,
     /// What stores accepted jobs.
     pub submitter: Submitter,
     /// What passes tables on.
@@ -102,7 +102,7 @@
             clock: Clock::new(),
             services,
             peers,
-            door: Door::new(),
+            admission: AdmissionControl::new(),
             submitter: Submitter::new(),
             relay: Relay::new(),
             registry: Registry::new(),
@@ -158,21 +158,21 @@
         let Some(owner) = &lease.record.owner else {
             return;
         };
-        let heard = view.heard.get(owner);
-        let silent = heard.map(|heard| now.since(heard.at));
+        let status = view.peers.get(owner);
+        let silent = status.map(|status| now.since(status.at));
         emit(
             Event::OwnerSilent,
             format_args!(
                 "pool={pool} owner={owner} token={} silent={silent:?} store_age={:?}",
                 lease.revision,
-                heard.map(|heard| heard.pong.store_age)
+                status.map(|status| status.pong.store_age)
             ),
         );
     }
 
     /// Tells whether this process owns nothing and leaves it to others to watch the owners.
     pub fn is_idle(&self) -> bool {
-        !self.owns_any() && !self.view().watches(&self.settings.node, self.now())
+        !self.owns_any() && !self.view().is_watching_owners(&self.settings.node, self.now())
     }
 
     /// Tells whether this process is in charge of anything, or is taking it.
--- a/reachhead_node/src/mandate.rs
+++ b/reachhead_node/src/order_permit.rs
@@ -15,7 +15,7 @@
 use crate::node::Node;
 
 /// The lease of a duty, as far as orders need it.
-pub struct Authority {
+pub struct PermitIssuer {
     node: Arc<Node>,
     duty: PoolName,
     token: FencingToken,
@@ -23,7 +23,7 @@
     lost: AtomicBool,
 }
 
-impl Authority {
+impl PermitIssuer {
     /// Returns the authority of the holder of a duty's lease.
     pub fn new(node: Arc<Node>, duty: PoolName, token: FencingToken) -> Self {
         let lost = AtomicBool::new(false);
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -29,14 +29,14 @@
 };
 
 use crate::{
-    admission, claims, follow,
+    admission, election, failure_detector, follow,
     frontend::NodeFrontend,
-    membership,
+    handover, membership,
     metrics::Metrics,
     node::{Node, Services},
     owner::Input,
     peer::{PeerClient, PeerHandler},
-    registry, relief, sight,
+    registry,
 };
 
 /// Longest wait for an answer of the store. A slow store carries transactions of a part out one after
@@ -201,10 +201,10 @@
     tokio::spawn(follow::follow(Arc::clone(node), Arc::new(follow::Workers(Arc::clone(node)))));
     tokio::spawn(membership::run(Arc::clone(node)));
     tokio::spawn(membership::check(Arc::clone(node)));
-    tokio::spawn(claims::run(Arc::clone(node)));
-    tokio::spawn(sight::run(Arc::clone(node)));
+    tokio::spawn(election::run(Arc::clone(node)));
+    tokio::spawn(failure_detector::run(Arc::clone(node)));
     tokio::spawn(registry::run(Arc::clone(node)));
-    tokio::spawn(relief::run(Arc::clone(node)));
+    tokio::spawn(handover::run(Arc::clone(node)));
     tokio::spawn(admission::keep_current(Arc::clone(node)));
 }
 
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -78,7 +78,7 @@
     log: Mutex<WorkerChangeLog>,
     changed: watch::Sender<u64>,
     /// When this process, as an owner of pools, last had a good answer, or began to need one.
-    heard: Mutex<Tick>,
+    last_answer: Mutex<Tick>,
     /// Until when it follows the table itself.
     direct: Mutex<Tick>,
 }
@@ -90,7 +90,7 @@
             epoch: rand::random(),
             log: Mutex::default(),
             changed: watch::Sender::new(0),
-            heard: Mutex::default(),
+            last_answer: Mutex::default(),
             direct: Mutex::default(),
         }
     }
@@ -134,7 +134,7 @@
         // What the table's last poll tells may be older than an answer that comes before it.
         if pools.is_empty() || is_direct(&node) || node.view().workers_followed {
             known = None;
-            *locked(&node.registry.heard) = node.now();
+            *locked(&node.registry.last_answer) = node.now();
             time::sleep(PAUSE).await;
             continue;
         }
@@ -149,7 +149,7 @@
         match page {
             Some(page) => {
                 known = Some((pools, page.position));
-                *locked(&node.registry.heard) = node.now();
+                *locked(&node.registry.last_answer) = node.now();
                 apply(&node, page);
                 time::sleep(GAP).await;
             }
@@ -165,7 +165,7 @@
 /// Follows the table itself for a while, if there has been no good answer for too long.
 fn fall_back(node: &Node) {
     let now = node.now();
-    if now.since(*locked(&node.registry.heard)) >= PATIENCE {
+    if now.since(*locked(&node.registry.last_answer)) >= PATIENCE {
         log::info!("the owner of all hosts does not tell of workers, so they are followed");
         *locked(&node.registry.direct) = now + DIRECT_TIME;
         node.duty_taken.notify_one();
--- a/reachhead_node/src/submit/peers.rs
+++ b/reachhead_node/src/submit/peers.rs
@@ -11,9 +11,9 @@
 
 use super::{Submission, refuse};
 use crate::{
+    failure_detector,
     node::Node,
     peer::{PeerReply, PeerRequest, Unstored},
-    sight,
 };
 
 /// Longest wait for an owner that stores jobs for this process; callers wait for three seconds.
@@ -75,16 +75,16 @@
     if known.is_some() {
         return known;
     }
-    sight::look(node, pool).await;
+    failure_detector::check_owner(node, pool).await;
     heard_owner(node, pool)
 }
 
 fn heard_owner(node: &Node, pool: &PoolName) -> Option<SocketAddr> {
     let view = node.view();
     let (owner, address) = view.owner(pool)?;
-    let heard = view.heard.get(&owner)?;
-    let lately = node.now().since(heard.at) <= HEARD_TIME && heard.pong.store_age <= STORE_AGE.0;
-    (owner != node.settings.node && lately && heard.pong.owned.contains_key(pool))
+    let status = view.peers.get(&owner)?;
+    let lately = node.now().since(status.at) <= HEARD_TIME && status.pong.store_age <= STORE_AGE.0;
+    (owner != node.settings.node && lately && status.pong.owned.contains_key(pool))
         .then_some(address)
 }
 
--- a/reachhead_node/src/view.rs
+++ b/reachhead_node/src/view.rs
@@ -43,7 +43,7 @@
 
 /// What was heard of a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct PeerStatus {
     /// When it last answered.
     pub at: Tick,
     /// Where it answered.
@@ -86,7 +86,7 @@
     /// The zones in which nothing is to be started.
     pub drained: BTreeSet<ZoneName>,
     /// What was heard of owners.
-    pub heard: BTreeMap<NodeName, Heard>,
+    pub peers: BTreeMap<NodeName, PeerStatus>,
     /// When the store last answered this process.
     pub store_seen: Tick,
     /// Since when it has answered without a gap.
@@ -104,9 +104,11 @@
         let lease = self.leases.get(pool);
         let revision = lease.map(|lease| lease.revision).unwrap_or_default();
         let claimed = self
-            .heard
+            .peers
             .iter()
-            .filter_map(|(peer, heard)| Some((*heard.pong.owned.get(pool)?, peer, heard.address)))
+            .filter_map(|(peer, status)| {
+                Some((*status.pong.owned.get(pool)?, peer, status.address))
+            })
             .filter(|(token, ..)| *token > revision)
             .max();
         if let Some((_, peer, address)) = claimed {
@@ -126,14 +128,14 @@
         heard_time: Millis,
         store_age: Millis,
     ) -> Option<SocketAddr> {
-        let lately = |heard: &Heard| {
-            now.since(heard.at) <= heard_time && heard.pong.store_age <= store_age.0
+        let lately = |status: &PeerStatus| {
+            now.since(status.at) <= heard_time && status.pong.store_age <= store_age.0
         };
-        self.heard
+        self.peers
             .iter()
-            .filter(|(_, heard)| lately(heard))
-            .min_by_key(|(_, heard)| heard.pong.store_age)
-            .map(|(_, heard)| heard.address)
+            .filter(|(_, status)| lately(status))
+            .min_by_key(|(_, status)| status.pong.store_age)
+            .map(|(_, status)| status.address)
     }
 
     /// Returns a process as a candidate for pools.
