--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -91,7 +91,7 @@
             None => Err(ErrorKind::NotReady),
         };
         let now = node.now();
-        let age = now.since(node.view().config_seen);
+        let age = now.since(node.view().config_current_at);
         let known = find();
         if age <= config_age(node) && known.is_ok() {
             return known;
@@ -163,7 +163,7 @@
 pub async fn keep_current(node: Arc<Node>) {
     loop {
         time::sleep(CURRENT_PERIOD).await;
-        let age = node.now().since(node.view().config_seen);
+        let age = node.now().since(node.view().config_current_at);
         if age > config_age(&node)
             && !node.owned().is_empty()
             && let Some(error) = node.admission.look(&node).await
@@ -230,7 +230,7 @@
 async fn ask_store(node: &Node, operators: &Operators) -> Result<FeedPage, String> {
     let known = node.view().config_revision;
     let page = operator_changes(node, operators.table(), known).await;
-    node.note_store(&page);
+    node.record_store_result(&page);
     page.map_err(|error| error.to_string())
 }
 
@@ -248,7 +248,7 @@
 }
 
 async fn ask_peer(node: &Node) -> Result<FeedPage, String> {
-    let peer = node.view().sighted_peer(node.now(), PEER_TIME, PEER_TIME);
+    let peer = node.view().peer_reaching_store(node.now(), PEER_TIME, PEER_TIME);
     let peer = peer.ok_or("no peer reaches it")?;
     let request = PeerRequest::Operators(node.view().config_revision);
     match node.peers.ask(peer, &request, LOOK_TIME).await {
--- a/reachhead_node/src/clock.rs
+++ b/reachhead_node/src/clock.rs
@@ -1,15 +1,15 @@
-//! The process's clocks.
+//! The clocks of the process.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use reachhead_jobs::clock::Tick;
 use reachhead_types::{boot_instant::BootInstant, size::Millis};
 
-/// The tick of the process's start: far from zero, so that the ages of jobs that are older than the
-/// process can be told.
-const START: u64 = 1_000_000_000;
+/// The tick at the start of the process: far from zero, so that the age of a job older than the
+/// process can be represented.
+const START_TICK: u64 = 1_000_000_000;
 
-/// A steady clock, and the time of day.
+/// A monotonic clock and the time of day.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: BootInstant,
@@ -21,9 +21,9 @@
         Self { start: BootInstant::now() }
     }
 
-    /// Returns the time on the steady clock.
+    /// Returns the time on the monotonic clock.
     pub fn now(self) -> Tick {
-        Tick(START + self.start.elapsed().as_millis() as u64)
+        Tick(START_TICK + self.start.elapsed().as_millis() as u64)
     }
 
     /// Returns the time of day, in milliseconds since 1970.
--- a/reachhead_node/src/election.rs
+++ b/reachhead_node/src/election.rs
@@ -1,4 +1,5 @@
-//! Who is in charge of which pool: taking leases, and noticing that an owner is gone.
+//! Elects pool owners: detects pools without a live owner, takes their leases and starts their
+//! owners.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -24,59 +25,60 @@
     view::LeaseView,
 };
 
-/// How often a process looks at the leases.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+/// Interval between two checks of the leases.
+const CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// How long an owner must be silent before its pools are taken. Longer than a pause of a slow or
-/// frozen process that is usual, and short enough that workers' leases outlast the change of hands.
-const SILENT_TIME: Millis = Millis(1100);
+/// Silence of an owner after which its pools are taken over: longer than a usual pause of a slow or
+/// frozen process, and short enough that workers' leases outlast the ownership change.
+const OWNER_TIMEOUT: Millis = Millis(1100);
 
-/// How recently the store must have answered this process for it to take a pool: longer than the polls
-/// of a followed table, which are the only calls of an idle process.
-const FRESH_TIME: Millis = Millis(1600);
+/// Maximum age of the store's last answer to this process for it to take a pool: longer than the
+/// polls of a followed table, which are the only calls of an idle process.
+const MAX_STORE_AGE: Millis = Millis(1600);
 
-/// Gap between two looks from which this process counts as late itself.
+/// Gap between two checks from which this process counts as delayed itself.
 const LATE_GAP: Millis = Millis(250);
 
-/// How long a process waits after its start before it takes pools, so that all know each other.
+/// How long a process waits after its start before it takes pools, so that the processes learn of
+/// each other.
 const START_DELAY: Millis = Millis(300);
 
-/// The same where nobody had been on the list of members: the first that enters would take all pools, and hand them over to the
-/// others one by one.
-const FIRST_DELAY: Millis = Millis(3000);
+/// The same if the membership list was empty: the first member would otherwise take all pools and
+/// hand them over to the others one by one.
+const FIRST_START_DELAY: Millis = Millis(3000);
 
-/// How long an owner goes on giving orders without a sign that it is in charge. With a worker's lease
+/// How long an owner keeps giving orders without a confirmation of its lease. With a worker's lease
 /// after it, runs outlast an outage of the store of about eight seconds; a successor that can't
 /// reach a worker has to wait for the same time.
-pub const TRUST_TIME: Millis = Millis(4000);
+pub const LEASE_TRUST_TIME: Millis = Millis(4000);
 
-/// Longest lease that workers are given, whatever they would grant: it is what a task is delayed by
-/// when its worker is lost, and it has to outlast a change of hands.
-pub const HOLD_MOST: Millis = Millis(4500);
+/// Maximum lease granted to workers, whatever they accept: a task is delayed by this time when its
+/// worker is lost, and the lease has to outlast an ownership change.
+pub const MAX_WORKER_LEASE: Millis = Millis(4500);
 
-/// Pause after rows of a pool that is being taken could not be read.
-const LOAD_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before the rows of a pool are read again after a failure.
+const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a long poll waits at a worker: well below half of the lease, and at most what the
-/// platform allows.
+/// Duration of a long poll at a worker: well below half of the lease, and at most what the platform
+/// allows.
 const POLL_WAIT: Millis = Millis(1500);
 
-/// Takes pools for as long as the process lives.
+/// Takes pools for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
     let mut election = Election {
         started: node.now(),
-        watching: node.now(),
-        vacant: BTreeMap::new(),
-        claiming: BTreeMap::new(),
-        told: BTreeMap::new(),
+        watching_since: node.now(),
+        vacant_since: BTreeMap::new(),
+        takeovers: BTreeMap::new(),
+        logged: BTreeMap::new(),
         last: node.now(),
-        late: Tick(0),
+        last_delayed: Tick(0),
         node,
     };
     loop {
-        time::sleep(LOOK_PERIOD).await;
+        time::sleep(CHECK_PERIOD).await;
         if !election.node.is_stopping() {
-            election.look();
+            election.check_pools();
         }
     }
 }
@@ -84,34 +86,36 @@
 struct Election {
     node: Arc<Node>,
     started: Tick,
-    /// Since when this process watches the owners; what it did not hear before tells nothing of them.
-    watching: Tick,
-    /// Since when a pool has nobody in charge, as this process sees it.
-    vacant: BTreeMap<PoolName, Tick>,
-    /// Pools that are being taken, side by side: after a restart of all processes each takes several, and jobs of the last one
-    /// would wait for all others.
-    claiming: BTreeMap<PoolName, JoinHandle<()>>,
-    /// The lease of a pool whose loss was logged last, so that each is logged once.
-    told: BTreeMap<PoolName, Revision>,
-    /// When this process looked last.
+    /// Since when this process watches the owners. Silence of an owner before that is no evidence.
+    watching_since: Tick,
+    /// Since when each pool has had no live owner, as this process sees it.
+    vacant_since: BTreeMap<PoolName, Tick>,
+    /// Pools being taken over. They run concurrently: after a restart of all processes each takes
+    /// several, and the jobs of the last pool would wait for all the others.
+    takeovers: BTreeMap<PoolName, JoinHandle<()>>,
+    /// The lease of each pool whose owner was last logged as lost, so that each loss is logged
+    /// once.
+    logged: BTreeMap<PoolName, Revision>,
+    /// When this process last checked the leases.
     last: Tick,
-    /// When it was last late itself. What it did not hear around then tells nothing of others: a process with too much to
-    /// do would take the pools of those that have not.
-    late: Tick,
+    /// When this process was last delayed itself. Silence of others around that time is no
+    /// evidence: an overloaded process would otherwise take the pools of healthy ones.
+    last_delayed: Tick,
 }
 
 impl Election {
-    fn look(&mut self) {
+    fn check_pools(&mut self) {
         let now = self.node.now();
         if now.since(std::mem::replace(&mut self.last, now)) >= LATE_GAP {
-            self.late = now;
+            self.last_delayed = now;
         }
         if !self.node.view().is_watching_owners(&self.node.settings.node, now) {
-            self.watching = now;
+            self.watching_since = now;
         }
-        self.claiming.retain(|_, claim| !claim.is_finished());
-        let delay = if self.node.view().is_first { FIRST_DELAY } else { START_DELAY };
-        let early = now.since(self.started) < delay;
+        self.takeovers.retain(|_, takeover| !takeover.is_finished());
+        let start_delay =
+            if self.node.view().started_without_members { FIRST_START_DELAY } else { START_DELAY };
+        let early = now.since(self.started) < start_delay;
         let Some(config) = self.node.view().config.clone() else {
             return;
         };
@@ -121,7 +125,7 @@
             pools.push(fleet::name());
         }
         for pool in pools {
-            if self.claiming.contains_key(&pool) {
+            if self.takeovers.contains_key(&pool) {
                 continue;
             }
             let own = self.is_own(&pool);
@@ -129,51 +133,52 @@
                 continue;
             }
             if self.is_vacant(&pool, now) {
-                let since = *self.vacant.entry(pool.clone()).or_insert(now);
-                self.tell_vacant(&pool, now);
-                if own || now.since(since) >= self.delay(&pool) {
-                    self.vacant.remove(&pool);
+                let since = *self.vacant_since.entry(pool.clone()).or_insert(now);
+                self.log_vacant_once(&pool, now);
+                if own || now.since(since) >= self.candidate_delay(&pool) {
+                    self.vacant_since.remove(&pool);
                     let known = self.node.view().leases.get(&pool).cloned();
                     let policy = config.pools.get(&pool).cloned();
-                    let task = claim(Arc::clone(&self.node), pool.clone(), policy, known);
-                    self.claiming.insert(pool, tokio::spawn(task));
+                    let task = take_over(Arc::clone(&self.node), pool.clone(), policy, known);
+                    self.takeovers.insert(pool, tokio::spawn(task));
                 }
             } else {
-                self.vacant.remove(&pool);
+                self.vacant_since.remove(&pool);
             }
         }
     }
 
-    /// Tells whether a pool's lease names this process. Nobody else takes such a pool before its owner has been
-    /// silent, so a restarted process takes its own without any delay, and jobs wait less when all lose power.
+    /// Returns whether a pool's lease names this process. No other process takes such a pool before
+    /// its owner has been silent, so a restarted process takes its own pools without delay; that
+    /// shortens the wait of jobs after a power loss of all processes.
     fn is_own(&self, pool: &PoolName) -> bool {
         let view = self.node.view();
         let owner = view.leases.get(pool).and_then(|lease| lease.record.owner.as_ref());
         owner == Some(&self.node.settings.node)
     }
 
-    /// Logs that a pool's owner seems to be gone, once a lease.
-    fn tell_vacant(&mut self, pool: &PoolName, now: Tick) {
+    /// Logs that a pool's owner seems to be lost, once for each lease.
+    fn log_vacant_once(&mut self, pool: &PoolName, now: Tick) {
         let revision = self.node.view().leases.get(pool).map(|lease| lease.revision);
         if let Some(revision) = revision
-            && self.told.insert(pool.clone(), revision) != Some(revision)
+            && self.logged.insert(pool.clone(), revision) != Some(revision)
         {
-            self.node.note_vacant(pool, now);
+            self.node.log_vacant_pool(pool, now);
         }
     }
 
-    /// Tells whether nobody seems to be in charge of a pool.
+    /// Returns whether a pool seems to have no live owner.
     fn is_vacant(&self, pool: &PoolName, now: Tick) -> bool {
         let node = &self.node;
         if node.owned().contains_key(pool) {
             return false;
         }
         let view = node.view();
-        if now.since(view.store_seen) > FRESH_TIME {
+        if now.since(view.store_answered_at) > MAX_STORE_AGE {
             return false;
         }
         let Some(lease) = view.leases.get(pool) else {
-            return now.since(view.leases_seen) < Millis(2 * TRUST_TIME.0);
+            return now.since(view.leases_current_at) < Millis(2 * LEASE_TRUST_TIME.0);
         };
         let Some(owner) = &lease.record.owner else {
             return true;
@@ -183,25 +188,25 @@
         }
         let status = view.peers.get(owner);
         let last = status.map_or(Tick(0), |status| status.at).max(lease.since).max(self.started);
-        let last = last.max(self.late).max(self.watching);
-        if now.since(last) > SILENT_TIME {
+        let last = last.max(self.last_delayed).max(self.watching_since);
+        if now.since(last) > OWNER_TIMEOUT {
             return true;
         }
         let Some(status) = status.filter(|status| status.at > lease.since) else {
             return false;
         };
         let absent = status.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
-        let unowned = absent && now.since(lease.since) > SILENT_TIME;
+        let not_claimed = absent && now.since(lease.since) > OWNER_TIMEOUT;
         let reachability =
             StoreReachability { age: Millis(status.pong.store_age), failing: status.pong.failing };
-        let cut_off = reachability.is_cut_off(now.since(view.store_since));
-        unowned || cut_off
+        let cut_off = reachability.is_cut_off(now.since(view.store_stable_since));
+        not_claimed || cut_off
     }
 
-    /// Returns how long this process lets others take a pool first.
-    fn delay(&self, pool: &PoolName) -> Millis {
+    /// Returns how long this process lets better candidates take a pool first.
+    fn candidate_delay(&self, pool: &PoolName) -> Millis {
         let node = &self.node;
-        let owned = node.owned().len() + self.claiming.len();
+        let owned = node.owned().len() + self.takeovers.len();
         let view = node.view();
         let own = Candidate { node: &node.settings.node, strength: node.strength(), owned };
         let others = view
@@ -214,9 +219,10 @@
     }
 }
 
-/// Returns how long an order of the predecessor may have effect on a worker that does not answer.
-/// One that gave the pool back, or that lives and does not own it, gives no orders any more.
-fn effect(node: &Node, pool: &PoolName, known: Option<&LeaseView>) -> Millis {
+/// Returns how long orders of the previous owner may still have effect on a worker that does not
+/// answer. A previous owner that gave the pool back, or that is alive and does not own it, gives no
+/// more orders.
+fn order_effect(node: &Node, pool: &PoolName, known: Option<&LeaseView>) -> Millis {
     let timeouts = timeouts(node);
     let Some(lease) = known else {
         return Millis(0);
@@ -226,30 +232,30 @@
     };
     let now = node.now();
     let view = node.view();
-    let ended = view.peers.get(owner).is_some_and(|status| {
+    let has_yielded = view.peers.get(owner).is_some_and(|status| {
         let absent = status.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
         absent && status.at > lease.since
     });
-    if ended && now.since(lease.since) >= timeouts.takeover_delay() {
+    if has_yielded && now.since(lease.since) >= timeouts.takeover_delay() {
         with_drift(timeouts.hold)
     } else {
         timeouts.takeover_delay()
     }
 }
 
-/// Takes a pool and starts its owner.
-async fn claim(
+/// Takes the lease of a pool, recovers the pool's state and starts its owner.
+async fn take_over(
     node: Arc<Node>,
     pool: PoolName,
     policy: Option<PoolPolicy>,
     known: Option<LeaseView>,
 ) {
-    let asked = node.now();
+    let lease_sent_at = node.now();
     let lease = match takeover::take(&node, &pool, known.as_ref()).await {
         Ok(Some(lease)) => lease,
         Ok(None) => return,
         Err(error) => {
-            log::info!("pool={pool} can't be taken: {error}");
+            log::info!("pool={pool} lease can't be taken: {error}");
             return;
         }
     };
@@ -257,28 +263,28 @@
     let (handle, inputs) = OwnerHandle::new(lease.revision);
     if policy.is_none() {
         node.owned().insert(pool.clone(), handle.clone());
-        node.duty_taken.notify_one();
+        node.pool_acquired.notify_one();
         tokio::spawn(fleet::run(node, handle, inputs, lease, known));
         return;
     }
     node.loading().insert(pool.clone(), lease.revision);
-    node.duty_taken.notify_one();
-    let effect = effect(&node, &pool, known.as_ref());
-    let found = load(&node, &pool, lease.revision, effect).await;
+    node.pool_acquired.notify_one();
+    let order_effect = order_effect(&node, &pool, known.as_ref());
+    let recovered = load(&node, &pool, lease.revision, order_effect).await;
     node.loading().remove(&pool);
-    let Some(mut found) = found else {
-        log::info!("pool={pool} token={} a later owner has taken it", lease.revision);
+    let Some(mut recovered) = recovered else {
+        log::info!("pool={pool} token={} a newer owner has fenced this one", lease.revision);
         return;
     };
-    found.verified = asked;
+    recovered.verified = lease_sent_at;
     emit(
         Event::LeaseTaken,
         format_args!(
             "pool={pool} token={} term={} jobs={} workers={} before={:?}",
             lease.revision,
             lease.record.term,
-            found.jobs.len(),
-            found.roster.workers.len(),
+            recovered.jobs.len(),
+            recovered.roster.workers.len(),
             known.and_then(|known| known.record.owner)
         ),
     );
@@ -287,34 +293,34 @@
         FencingToken(lease.revision.0),
         lease.record.term,
         timeouts(&node),
-        found,
+        recovered,
         node.now(),
         node.clock.wall(),
     );
     node.owned().insert(pool.clone(), handle.clone());
     let owner = Owner::new(Arc::clone(&node), state, lease.record.term, handle.clone(), inputs);
-    tokio::spawn(lists(Arc::clone(&node), pool.clone(), handle.clone()));
+    tokio::spawn(send_workers(Arc::clone(&node), pool.clone(), handle.clone()));
     tokio::spawn(async move {
         owner.run().await;
         release(&node, &pool, handle.token);
     });
 }
 
-/// Reads what the predecessor left, again and again while the lease names this process: an outage that begins
-/// meanwhile must not cost a change of hands.
+/// Reads the state that the previous owner left, with retries for as long as the lease names this
+/// process, so that a starting outage of the store does not cause another ownership change.
 async fn load(
     node: &Node,
     pool: &PoolName,
     token: Revision,
-    effect: Millis,
+    order_effect: Millis,
 ) -> Option<RecoveredState> {
-    let mut loader = Loader::new(node, pool, token, effect);
+    let mut loader = Loader::new(node, pool, token, order_effect);
     loop {
         match loader.load().await {
-            Ok(found) => return found,
-            Err(error) => log::info!("pool={pool} its rows can't be read: {error}"),
+            Ok(recovered) => return recovered,
+            Err(error) => log::info!("pool={pool} rows can't be read, retrying: {error}"),
         }
-        time::sleep(LOAD_PAUSE).await;
+        time::sleep(LOAD_RETRY_PAUSE).await;
         let held = node.view().leases.get(pool).is_some_and(|lease| lease.revision == token);
         if !held || node.is_stopping() {
             return None;
@@ -322,7 +328,7 @@
     }
 }
 
-/// Forgets that this process is in charge of a pool.
+/// Removes a pool from those that this process owns.
 pub fn release(node: &Node, pool: &PoolName, token: Revision) {
     let mut owned = node.owned();
     if owned.get(pool).is_some_and(|handle| handle.token == token) {
@@ -331,8 +337,8 @@
     emit(Event::LeaseEnded, format_args!("pool={pool} token={token}"));
 }
 
-/// Tells an owner of the pool's workers whenever the registered ones change.
-async fn lists(node: Arc<Node>, pool: PoolName, handle: OwnerHandle) {
+/// Sends the pool's workers to its owner whenever the registered workers change.
+async fn send_workers(node: Arc<Node>, pool: PoolName, handle: OwnerHandle) {
     let mut changed = node.workers_changed.subscribe();
     loop {
         if node.local(&pool).is_none_or(|owner| owner.token != handle.token) {
@@ -341,7 +347,7 @@
         let workers = {
             let view = node.view();
             let own = view.workers.values().filter(|info| info.pool == pool);
-            view.workers_known.then(|| own.cloned().collect())
+            view.workers_loaded.then(|| own.cloned().collect())
         };
         if let Some(workers) = workers {
             handle.send(crate::owner::Input::Listed(workers));
@@ -355,8 +361,8 @@
 fn timeouts(node: &Node) -> PoolTimeouts {
     let settings = &node.settings;
     PoolTimeouts {
-        hold: settings.hold.min(HOLD_MOST),
-        trust: TRUST_TIME,
+        hold: settings.hold.min(MAX_WORKER_LEASE),
+        trust: LEASE_TRUST_TIME,
         wait: POLL_WAIT,
         notice: settings.notice,
         gang: settings.gang,
--- a/reachhead_node/src/failure_detector.rs
+++ b/reachhead_node/src/failure_detector.rs
@@ -1,8 +1,8 @@
-//! Asking owners whether they live, and what is known of peers by that.
+//! Failure detection: heartbeats to pool owners, and the status that peers report in their answers.
 //!
-//! Members ask all owners four times a second. Everybody else asks one member a second whether the members are there, so that what
-//! an owner is asked does not follow the number of hosts; only when none of several answers does such a process watch the owners
-//! itself.
+//! Members ping all owners four times a second. Every other process pings one member a second to
+//! check that the members are alive, so the load on an owner does not grow with the number of
+//! hosts. Such a process watches the owners itself only when none of several members answers.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,73 +20,80 @@
     view::{PeerStatus, View},
 };
 
-/// How often a process that watches the owners asks them.
-const PERIOD: Duration = Duration::from_millis(250);
+/// Interval between two heartbeat rounds.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(250);
 
-/// How long it waits for an answer.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Timeout of one heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often any other process asks a member.
-const MEMBER_PERIOD: Millis = Millis(1000);
+/// Interval at which a process that is no member pings a member.
+const MEMBER_PING_PERIOD: Millis = Millis(1000);
 
-/// How long the word of a member counts: until then four others were asked in vain.
-const MEMBER_TIME: Millis = Millis(2600);
+/// How long a member's answer counts; by then four other members have been pinged without an
+/// answer.
+const MAX_MEMBER_STATUS_AGE: Millis = Millis(2600);
 
-/// How lately a member must have reached the store to count as one that would take a pool.
-const MEMBER_STORE_AGE: Millis = Millis(1800);
+/// Maximum age of a member's last contact with the store for it to count as able to take over a
+/// pool.
+const MAX_MEMBER_STORE_AGE: Millis = Millis(1800);
 
-/// Members that a process asks at once that the store turns away. A few suffice to learn who owns what, and hundreds of processes
-/// may be turned away together.
-const OUTAGE_PEERS: usize = 3;
+/// Maximum number of members that a process without access to the store pings in one round. A few
+/// suffice to learn the owners, and the store may reject hundreds of processes at the same time.
+const MAX_OUTAGE_PINGS: usize = 3;
 
-/// Peers of which something is remembered, in time: nobody goes by what was heard before.
-const HEARD_TIME: Millis = Millis(20_000);
+/// How long a peer's status is kept. No decision uses a status older than this.
+const STATUS_RETENTION: Millis = Millis(20_000);
 
-/// How long a caller's process waits for the word of an owner that it has not asked lately.
-const OWNER_TIME: Duration = Duration::from_millis(150);
+/// Timeout of the heartbeat to an owner that is sent while a caller waits.
+const OWNER_PING_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Asks peers for as long as the process lives.
+/// Sends heartbeats to peers for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
-    let mut member_next = Tick(0);
+    let mut next_member_ping = Tick(0);
     loop {
-        time::sleep(PERIOD).await;
+        time::sleep(HEARTBEAT_PERIOD).await;
         let now = node.now();
-        for (peer, address) in asked(&node, &mut member_next, now) {
+        for (peer, address) in ping_targets(&node, &mut next_member_ping, now) {
             let node = Arc::clone(&node);
-            tokio::spawn(async move { ask(&node, peer, address, ANSWER_TIME).await });
+            tokio::spawn(async move { ping(&node, peer, address, HEARTBEAT_TIMEOUT).await });
         }
-        node.view().peers.retain(|_, status| now.since(status.at) < HEARD_TIME);
+        node.view().peers.retain(|_, status| now.since(status.at) < STATUS_RETENTION);
     }
 }
 
-/// Asks a peer what it owns, and remembers what it says.
-async fn ask(node: &Node, peer: NodeName, address: SocketAddr, wait: Duration) {
-    if let Ok(PeerReply::Pong(pong)) = node.peers.ask(address, &PeerRequest::Ping, wait).await {
+/// Pings a peer and stores the status that it reports.
+async fn ping(node: &Node, peer: NodeName, address: SocketAddr, deadline: Duration) {
+    if let Ok(PeerReply::Pong(pong)) = node.peers.ask(address, &PeerRequest::Ping, deadline).await {
         let status = PeerStatus { at: node.now(), address, pong };
         node.view().peers.insert(peer, status);
     }
 }
 
-/// Returns whom to ask now.
-fn asked(node: &Node, member_next: &mut Tick, now: Tick) -> BTreeMap<NodeName, SocketAddr> {
+/// Returns the peers to ping in this round.
+fn ping_targets(
+    node: &Node,
+    next_member_ping: &mut Tick,
+    now: Tick,
+) -> BTreeMap<NodeName, SocketAddr> {
     let own = &node.settings.node;
-    let away = node.outage().is_some();
+    let store_outage = node.outage().is_some();
     let view = node.view();
-    let mut asked = BTreeMap::new();
-    if view.is_watching_owners(own, now) || away {
-        asked.extend(view.leases.keys().filter_map(|pool| view.owner(pool)));
+    let mut targets = BTreeMap::new();
+    if view.is_watching_owners(own, now) || store_outage {
+        targets.extend(view.leases.keys().filter_map(|pool| view.owner(pool)));
     }
-    // After an answer that does not come the next member is asked at once.
-    let relieved = view.last_member_contact(now).is_some_and(|at| now.since(at) < MEMBER_PERIOD);
-    if !view.members.contains_key(own) && (*member_next <= now || !relieved) {
-        *member_next = now + MEMBER_PERIOD;
-        asked.extend(random_members(&view, own, 1));
+    // If a member does not answer, the next one is pinged in the next round.
+    let has_live_member =
+        view.last_member_contact(now).is_some_and(|at| now.since(at) < MEMBER_PING_PERIOD);
+    if !view.members.contains_key(own) && (*next_member_ping <= now || !has_live_member) {
+        *next_member_ping = now + MEMBER_PING_PERIOD;
+        targets.extend(random_members(&view, own, 1));
     }
-    if away {
-        asked.extend(random_members(&view, own, OUTAGE_PEERS));
+    if store_outage {
+        targets.extend(random_members(&view, own, MAX_OUTAGE_PINGS));
     }
-    asked.remove(own);
-    asked
+    targets.remove(own);
+    targets
 }
 
 fn random_members(view: &View, own: &NodeName, count: usize) -> Vec<(NodeName, SocketAddr)> {
@@ -96,24 +103,30 @@
 }
 
 impl View {
-    /// Tells whether this process has to notice itself that an owner is gone: it is a member, or no member tells that it would.
+    /// Returns whether this process must detect failed owners itself, because it is a member or no
+    /// member reports that it does so.
     pub fn is_watching_owners(&self, own: &NodeName, now: Tick) -> bool {
         self.members.contains_key(own) || self.last_member_contact(now).is_none()
     }
 
-    /// Returns when a member last said, lately enough, that it is there and reaches the store.
+    /// Returns when a member that can reach the store last answered, if that is recent enough.
     fn last_member_contact(&self, now: Tick) -> Option<Tick> {
-        let able = |status: &&PeerStatus| {
+        let can_take_over = |status: &&PeerStatus| {
             let pong = &status.pong;
-            !pong.stopping && !pong.failing && pong.store_age <= MEMBER_STORE_AGE.0
+            !pong.stopping && !pong.failing && pong.store_age <= MAX_MEMBER_STORE_AGE.0
         };
-        let lately = |status: &&PeerStatus| now.since(status.at) <= MEMBER_TIME;
+        let is_recent = |status: &&PeerStatus| now.since(status.at) <= MAX_MEMBER_STATUS_AGE;
         let members = self.peers.iter().filter(|(name, _)| self.members.contains_key(*name));
-        members.map(|(_, status)| status).filter(able).filter(lately).map(|status| status.at).max()
+        members
+            .map(|(_, status)| status)
+            .filter(can_take_over)
+            .filter(is_recent)
+            .map(|status| status.at)
+            .max()
     }
 }
 
-/// Asks the owner of a pool whether it lives, if this process does not watch the owners.
+/// Pings the owner of a pool now, unless this process watches the owners anyway.
 pub async fn check_owner(node: &Node, pool: &PoolName) {
     let owner = {
         let view = node.view();
@@ -123,6 +136,6 @@
         view.owner(pool)
     };
     if let Some((owner, address)) = owner.filter(|(owner, _)| *owner != node.settings.node) {
-        ask(node, owner, address, OWNER_TIME).await;
+        ping(node, owner, address, OWNER_PING_TIMEOUT).await;
     }
 }
--- a/reachhead_node/src/fleet/memory.rs
+++ b/reachhead_node/src/fleet/memory.rs
@@ -44,7 +44,7 @@
             return;
         }
         let rows = self.node.services.store.read(vec![use_key(&name())]).await;
-        self.node.note_store(&rows);
+        self.node.record_store_result(&rows);
         let row = match rows {
             Ok(rows) => rows.into_iter().flatten().next(),
             Err(error) => {
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -58,11 +58,11 @@
     let previous = PreviousHolder {
         record: &lease.record,
         since: lease.since,
-        observed: view.leases_read.is_some_and(|first| lease.since > first),
+        observed: view.leases_first_read_at.is_some_and(|first| lease.since > first),
         own: owner == Some(&node.settings.node),
         denied: status.filter(denies).map(|status| status.at),
     };
-    let checked = node.settings.machines.is_none_or(|machines| machines.fenced);
+    let checked = node.settings.machines.is_none_or(|hosts| hosts.fenced);
     previous.takeover_wait(node.now(), node.settings.duty, checked)
 }
 
@@ -77,7 +77,7 @@
 /// Tells whether there is anything for an owner of all hosts to do.
 pub fn is_wanted(node: &Node) -> bool {
     let limited = |config: &Arc<Configuration>| config.customers.any_limited();
-    node.services.machines.is_some() || node.view().config.as_ref().is_some_and(limited)
+    node.services.hosts.is_some() || node.view().config.as_ref().is_some_and(limited)
 }
 
 /// Carries out waves until the lease is lost or given back.
@@ -205,7 +205,7 @@
     }
 
     async fn read_machines(&mut self) -> bool {
-        let Some(machines) = &self.node.services.machines else {
+        let Some(machines) = &self.node.services.hosts else {
             return false;
         };
         match machines.list().await {
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -15,7 +15,7 @@
 
 use super::name;
 use crate::{
-    election::{HOLD_MOST, TRUST_TIME},
+    election::{LEASE_TRUST_TIME, MAX_WORKER_LEASE},
     frontend::ask_pool,
     node::Node,
     peer::{PeerReply, PoolRequest},
@@ -39,7 +39,7 @@
 pub async fn run(node: Arc<Node>, token: Revision) {
     // An owner sees a new ledger within the time for which it trusts its own lease; what it started until its limits are
     // void ends with its lease at the latest where nobody prolongs that.
-    let effect = Millis(TRUST_TIME.0 + LIMIT_EXPIRY.0 + with_drift(HOLD_MOST).0);
+    let effect = Millis(LEASE_TRUST_TIME.0 + LIMIT_EXPIRY.0 + with_drift(MAX_WORKER_LEASE).0);
     let mut ledger = Ledger::new(FencingToken(token.0), effect, node.now());
     while node.local(&name()).is_some_and(|handle| handle.token == token) {
         // An owner whose lease is older than this one's has to be known as the owner, see `Owner::allot`.
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -47,7 +47,7 @@
                 continue;
             }
             let rows = self.node.services.store.read(vec![wave_key(&order.name)]).await;
-            self.node.note_store(&rows);
+            self.node.record_store_result(&rows);
             let row = match rows {
                 Ok(rows) => rows.into_iter().flatten().next(),
                 Err(error) => {
@@ -153,7 +153,7 @@
             }
             taken.push(Taken { host: machine.host, progress, first });
         }
-        let Some(api) = self.node.services.machines.clone() else {
+        let Some(api) = self.node.services.hosts.clone() else {
             return false;
         };
         let permit_issuer = &self.permit_issuer;
@@ -236,7 +236,7 @@
             .with_check(key.clone(), held.revision)
             .with_write(key.clone(), value(&record));
         let result = self.node.services.store.commit(txn).await;
-        self.node.note_store(&result);
+        self.node.record_store_result(&result);
         match result {
             Ok(Commit::Done(revision)) => {
                 held.revision = Some(revision);
--- a/reachhead_node/src/follow.rs
+++ b/reachhead_node/src/follow.rs
@@ -99,11 +99,11 @@
         loop {
             if !follower.wanted() {
                 // Either end of the wait leads to another look.
-                let _ = time::timeout(PAUSE_FIRST, node.duty_taken.notified()).await;
+                let _ = time::timeout(PAUSE_FIRST, node.pool_acquired.notified()).await;
                 continue;
             }
             let told = relay::table(&node, follower.table()).await;
-            node.note_store(&told);
+            node.record_store_result(&told);
             match told {
                 Ok(Followed { page, at }) => {
                     emit(
@@ -144,7 +144,7 @@
         wait = if told.is_ok() { follower.wait() } else { Millis(0) };
         match told {
             Ok(Followed { page, at }) => {
-                node.note_store(&Ok(()));
+                node.record_store_result(&Ok(()));
                 revision = revision.max(page.revision);
                 let changed = !page.changes.is_empty();
                 if changed {
@@ -158,7 +158,7 @@
             }
             Err(FeedError::Forgotten) => return,
             Err(FeedError::Store(error)) => {
-                node.note_store::<()>(&Err(error.clone()));
+                node.record_store_result::<()>(&Err(error.clone()));
                 log::info!("table={} can't be followed: {error}", follower.table());
                 if follower.table() == LEASE_TABLE
                     && let Some(page) = relay::leases_of_member(node).await
@@ -192,7 +192,7 @@
         match node.services.row_format.operator_row(&change.row) {
             Ok(OperatorRow::Configuration(config)) => {
                 let version = config.version;
-                if node.view().adopt(config) {
+                if node.view().update_config(config) {
                     let revision = change.row.revision;
                     emit(
                         Event::ConfigInForce,
@@ -230,7 +230,7 @@
     }
 
     fn wait(&self) -> Millis {
-        if relay::may_be_late(&self.0) { RELAY_WAIT } else { OPERATOR_WAIT }
+        if relay::allows_relayed_age(&self.0) { RELAY_WAIT } else { OPERATOR_WAIT }
     }
 
     fn reset(&self, rows: &[Change]) {
@@ -253,7 +253,7 @@
 
     fn seen(&self, at: Tick, revision: Revision) {
         let mut view = self.0.view();
-        view.config_seen = view.config_seen.max(at);
+        view.config_current_at = view.config_current_at.max(at);
         view.config_revision = view.config_revision.max(revision);
     }
 }
@@ -279,7 +279,7 @@
     /// reach them.
     fn adopt(&self, pool: PoolName, record: LeaseRecord, revision: Revision, now: Tick) {
         let owner = record.owner.clone();
-        if self.0.view().adopt_lease(pool.clone(), record, revision, now) {
+        if self.0.view().update_lease(pool.clone(), record, revision, now) {
             let owner = owner.as_ref().map_or("nobody", NodeName::as_str);
             emit(Event::OwnerKnown, format_args!("pool={pool} owner={owner} token={revision}"));
         }
@@ -314,7 +314,7 @@
     fn wait(&self) -> Millis {
         if self.0.is_idle() {
             IDLE_LEASE_WAIT
-        } else if relay::may_be_late(&self.0) {
+        } else if relay::allows_relayed_age(&self.0) {
             RELAY_WAIT
         } else {
             LEASE_WAIT
@@ -334,10 +334,10 @@
             view.members.clear();
             let listed =
                 |change: &Change| matches!(parse(&change.row.key), Some(LeaseKey::Member(_)));
-            if view.leases_read.is_none() {
-                view.is_first = !rows.iter().any(listed);
+            if view.leases_first_read_at.is_none() {
+                view.started_without_members = !rows.iter().any(listed);
             }
-            view.leases_read.get_or_insert(now);
+            view.leases_first_read_at.get_or_insert(now);
         }
         self.apply_at(rows, now);
     }
@@ -349,7 +349,7 @@
     fn seen(&self, at: Tick, revision: Revision) {
         let mut view = self.0.view();
         view.leases_revision = view.leases_revision.max(revision);
-        view.leases_seen = view.leases_seen.max(at);
+        view.leases_current_at = view.leases_current_at.max(at);
     }
 }
 
@@ -428,8 +428,8 @@
         {
             let mut view = self.0.view();
             view.workers.clear();
-            view.workers_known = true;
-            view.workers_followed = true;
+            view.workers_loaded = true;
+            view.follows_workers = true;
         }
         self.apply(rows);
         // Of those that were there before some may be gone.
@@ -449,12 +449,12 @@
 
     fn seen(&self, at: Tick, _revision: Revision) {
         let mut view = self.0.view();
-        view.workers_seen = view.workers_seen.max(at);
+        view.workers_current_at = view.workers_current_at.max(at);
     }
 
     fn ended(&self) {
         let mut view = self.0.view();
-        view.workers_known = false;
-        view.workers_followed = false;
+        view.workers_loaded = false;
+        view.follows_workers = false;
     }
 }
--- a/reachhead_node/src/frontend.rs
+++ b/reachhead_node/src/frontend.rs
@@ -68,7 +68,7 @@
         // The job's row is read before the final one, which replaces it in one transaction.
         let keys = vec![job_key(pool, id), final_key(pool, id), progress_key(pool, id)];
         let rows = self.0.services.store.read(keys).await;
-        self.0.note_store(&rows);
+        self.0.record_store_result(&rows);
         let mut rows = rows?.into_iter();
         let mut next = || rows.next().flatten();
         let (job, ended, progress) = (next(), next(), next());
@@ -118,7 +118,7 @@
     ) -> Option<Answer> {
         let keys = vec![job_key(pool, id), final_key(pool, id)];
         let rows = self.0.services.store.read(keys).await;
-        self.0.note_store(&rows);
+        self.0.record_store_result(&rows);
         match rows {
             Ok(rows) => {
                 let mut rows = rows.into_iter();
@@ -171,7 +171,7 @@
         let status = owner.as_ref().and_then(|owner| view.peers.get(owner));
         format!(
             "store_age={}ms store_failing={} owner={} owner_heard={:?} owner_store_age={:?}",
-            now.since(view.store_seen),
+            now.since(view.store_answered_at),
             view.store_failing,
             owner.as_ref().map_or("-", |owner| owner.as_str()),
             status.map(|status| now.since(status.at).0),
@@ -287,7 +287,7 @@
 
     fn is_ready(&self) -> bool {
         let view = self.0.view();
-        let store_reachable = self.0.now().since(view.store_seen) <= STORE_AGE;
+        let store_reachable = self.0.now().since(view.store_answered_at) <= STORE_AGE;
         // Without a peer it could serve nobody once the store turns it away.
         let accompanied = !view.members.is_empty();
         view.config.is_some() && store_reachable && accompanied && !self.0.is_stopping()
--- a/reachhead_node/src/handover.rs
+++ b/reachhead_node/src/handover.rs
@@ -1,6 +1,7 @@
-//! Handing a pool over to a process that bears it much better.
+//! Handover of a pool to a process with much more capacity.
 //!
-//! Whoever is there first takes a vacant pool, which may be a weak process while the strong ones restart.
+//! The first process that is up takes a vacant pool, and that may be a weak one while the strong
+//! ones restart.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,40 +20,42 @@
     peer::{PeerReply, PeerRequest},
 };
 
-/// How often a process compares what it bears with its peers.
-const PERIOD: Duration = Duration::from_millis(700);
+/// Interval at which a process compares its load with its peers.
+const CHECK_PERIOD: Duration = Duration::from_millis(700);
 
-/// How long an owner keeps a pool at least: a successor has to be settled before the next change.
-const KEEP_TIME: Millis = Millis(3000);
+/// Minimum time that an owner keeps a pool: a successor has to be settled before the next ownership
+/// change.
+const MIN_OWNERSHIP: Millis = Millis(3000);
 
-/// How long the process that would take the pool has to answer; one that is slow is no better owner. It includes how late
-/// this process is itself, which is the more the sooner it should hand over.
-const ANSWER_TIME: Duration = Duration::from_millis(500);
+/// Timeout of the ping to the successor; a slow one would be no better owner. It includes the delay
+/// of this process itself, which is the larger the sooner it should hand over.
+const PING_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How lately that process must have reached the store.
-const STORE_AGE: u64 = 1800;
+/// Maximum age of the successor's last contact with the store, in milliseconds.
+const MAX_STORE_AGE_MS: u64 = 1800;
 
-/// Processes that are asked in one turn at most: the list also has those that are gone.
-const TRIES: usize = 3;
+/// Maximum number of successors that are pinged in one round, since the list may contain dead
+/// processes.
+const MAX_CANDIDATES: usize = 3;
 
-/// A process that should have one of this process's pools.
+/// A process that should own one of this process's pools.
 struct Successor {
     node: NodeName,
     address: SocketAddr,
 }
 
-/// Hands pools over for as long as the process lives.
+/// Hands pools over for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        time::sleep(PERIOD).await;
+        time::sleep(CHECK_PERIOD).await;
         if node.is_stopping() {
             continue;
         }
-        let Some((pool, handle)) = oldest(&node) else {
+        let Some((pool, handle)) = longest_owned(&node) else {
             continue;
         };
         for successor in successors(&node) {
-            if answers(&node, &successor).await {
+            if is_healthy(&node, &successor).await {
                 hand_over(&pool, &handle, &successor).await;
                 break;
             }
@@ -60,9 +63,9 @@
     }
 }
 
-/// Returns a pool that this process has been in charge of for long enough. The hosts stay: two holders of
-/// their orders must not follow each other closely.
-fn oldest(node: &Node) -> Option<(PoolName, OwnerHandle)> {
+/// Returns the pool that this process has owned longest, if that is long enough. The fleet lease
+/// stays: two holders of it must not follow each other closely.
+fn longest_owned(node: &Node) -> Option<(PoolName, OwnerHandle)> {
     let now = node.now();
     let owned = node.owned().clone();
     let view = node.view();
@@ -74,12 +77,13 @@
         .into_iter()
         .filter(|(pool, _)| *pool != fleet::name())
         .filter_map(|(pool, handle)| Some((since(&pool, &handle)?, pool, handle)))
-        .filter(|(since, ..)| now.since(*since) >= KEEP_TIME)
+        .filter(|(since, ..)| now.since(*since) >= MIN_OWNERSHIP)
         .min_by_key(|(since, ..)| *since)
         .map(|(_, pool, handle)| (pool, handle))
 }
 
-/// Returns the processes that would bear much less with one more pool than this one does, the best first.
+/// Returns the processes that would have much more capacity left with one more pool than this one
+/// has, the best first.
 fn successors(node: &Node) -> Vec<Successor> {
     let owned = node.owned().len();
     let view = node.view();
@@ -94,19 +98,19 @@
         node: candidate.node.clone(),
         address,
     };
-    found.into_iter().take(TRIES).map(successor).collect()
+    found.into_iter().take(MAX_CANDIDATES).map(successor).collect()
 }
 
-/// Tells whether the process lives, is quick and reaches the store.
-async fn answers(node: &Node, successor: &Successor) -> bool {
-    let pong = node.peers.ask(successor.address, &PeerRequest::Ping, ANSWER_TIME).await;
-    matches!(pong, Ok(PeerReply::Pong(pong)) if pong.store_age <= STORE_AGE)
+/// Returns whether the process is alive, answers quickly and reaches the store.
+async fn is_healthy(node: &Node, successor: &Successor) -> bool {
+    let pong = node.peers.ask(successor.address, &PeerRequest::Ping, PING_TIMEOUT).await;
+    matches!(pong, Ok(PeerReply::Pong(pong)) if pong.store_age <= MAX_STORE_AGE_MS)
 }
 
 async fn hand_over(pool: &PoolName, handle: &OwnerHandle, successor: &Successor) {
     let (sender, receiver) = oneshot::channel();
     handle.send(Input::Yield(sender));
-    // An owner that keeps its pool, or has ended on its own, drops its side.
+    // An owner that keeps its pool, or has ended on its own, drops its side of the channel.
     if receiver.await.is_ok() {
         emit(
             Event::PoolYielded,
--- a/reachhead_node/src/main.rs
+++ b/reachhead_node/src/main.rs
@@ -34,8 +34,9 @@
 use reachhead_platform::settings::Settings;
 use tikv_jemallocator::Jemalloc;
 
-/// A burst makes and drops thousands of small requests and rows a second, which took a sixth of the processes' time with the C
-/// library's allocator (by a profile of bursts on 300 workers). This one needs no more memory.
+/// Bursts allocate and free thousands of small requests and rows a second, which took a sixth of
+/// the processes' time with the C library's allocator (in a profile of bursts on 300 workers).
+/// jemalloc needs no more memory.
 #[global_allocator]
 static ALLOCATOR: Jemalloc = Jemalloc;
 
--- a/reachhead_node/src/membership.rs
+++ b/reachhead_node/src/membership.rs
@@ -39,7 +39,7 @@
 /// Enters the list where that is of use, for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
     // What is on the list is known once the leases have been read.
-    while node.view().leases_read.is_none() {
+    while node.view().leases_first_read_at.is_none() {
         time::sleep(LOOK_PERIOD / 10).await;
     }
     let mut failures = 0;
@@ -90,7 +90,7 @@
         Step::Leave => (txn.with_delete(key), None),
     };
     let result = node.services.store.commit(txn).await;
-    node.note_store(&result);
+    node.record_store_result(&result);
     match result {
         Ok(Commit::Done(revision)) => {
             emit(Event::MemberChanged, format_args!("node={} {record:?}", node.settings.node));
@@ -169,7 +169,7 @@
     let key = member_key(member);
     let txn = Txn::new().with_check(key.clone(), Some(revision)).with_delete(key);
     let result = node.services.store.commit(txn).await;
-    node.note_store(&result);
+    node.record_store_result(&result);
     emit(
         Event::MemberChanged,
         format_args!("node={member} taken off, it does not answer: {result:?}"),
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -113,7 +113,7 @@
 
     /// Returns how many orders a second the platform takes.
     fn rate(&self) -> f64 {
-        self.node.settings.machines.map_or(0.0, |machines| machines.rate)
+        self.node.settings.machines.map_or(0.0, |hosts| hosts.rate)
     }
 
     /// Looks at all pools and moves what should be elsewhere. `held` are hosts that something else is
@@ -236,7 +236,7 @@
     }
 
     async fn carry_out(&self, step: Move) -> Option<Moved> {
-        let api: &Arc<dyn HostApi> = self.node.services.machines.as_ref()?;
+        let api: &Arc<dyn HostApi> = self.node.services.hosts.as_ref()?;
         let permit = self.permit_issuer.permit().await?;
         let result = api.relocate(permit, step.host.clone(), step.to.clone()).await;
         emit(
--- a/reachhead_node/src/node.rs
+++ b/reachhead_node/src/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a process share.
+//! State and services that the tasks of a process share.
 
 use std::{
     collections::BTreeMap,
@@ -23,65 +23,67 @@
     peer::PeerClient, registry::Registry, relay::Relay, submit::Submitter, view::View,
 };
 
-/// How long the store must have been silent to be called lost: longer than a single failed call, and than
-/// the polls of a process without pools are apart.
-const LOST_AGE: Millis = Millis(1700);
+/// Silence of the store after which it is logged as lost: longer than one failed call, and longer
+/// than the interval between the polls of a process without pools.
+const STORE_LOST_AGE: Millis = Millis(1700);
 
-/// How long the store must have been silent, with a failed call, for it to be taken for away: callers are refused at once
-/// then and not held up. A single failed call after a poll's pause is no outage yet.
-const AWAY_AGE: Millis = Millis(1200);
+/// Silence of the store, with a failed call, from which it counts as unavailable, so that callers
+/// are refused at once instead of being held. A single failed call after a poll's pause is no
+/// outage yet.
+const STORE_OUTAGE_AGE: Millis = Millis(1200);
 
-/// The services of the platform, as the product needs them.
+/// The platform's services.
 pub struct Services {
-    /// The store, behind a breaker.
+    /// The store, behind a circuit breaker.
     pub store: Arc<dyn Store>,
-    /// The store's tables to follow.
+    /// The change feed of the store's tables.
     pub feed: Arc<dyn TableFeed>,
-    /// The agents on workers.
+    /// The agents on the workers.
     pub workers: Arc<dyn WorkerAgent>,
-    /// The platform's hosts, if it has them.
-    pub machines: Option<Arc<dyn HostApi>>,
-    /// Who knows which workers may run a step, if anybody decides that.
+    /// The platform's hosts, if it offers them.
+    pub hosts: Option<Arc<dyn HostApi>>,
+    /// The advisor that approves workers for a step, if there is one.
     pub advisor: Option<Arc<dyn Advisor>>,
-    /// How operators and workers write their rows.
+    /// The format of the rows that operators and workers write.
     pub row_format: Arc<dyn RowFormat>,
 }
 
-/// Time of a whole core that the start of a task takes with its reports, in seconds: the
-/// processor time of all owners over their starts.
-const START_CORES: f64 = 0.000_15;
+/// Time of a whole core that one start of a task takes with its reports, in seconds: the processor
+/// time of all owners divided by their starts.
+const CORE_SECONDS_PER_START: f64 = 0.000_15;
 
-/// Bits on the link for it: the order with its specification, the answer, its share of reports.
-const START_BITS: f64 = 8_000.0;
+/// Bits on the network link for one start: the order with its specification, the answer, and its
+/// share of reports.
+const LINK_BITS_PER_START: f64 = 8_000.0;
 
-/// Bits in a second in a Mbit/s.
-const MEGABIT: f64 = 1_000_000.0;
+/// Bits per second in one Mbit/s.
+const BITS_PER_MEGABIT: f64 = 1_000_000.0;
 
 /// A process of the system.
 pub struct Node {
-    /// Its settings.
+    /// The settings.
     pub settings: Settings,
-    /// Its clocks.
+    /// The clocks.
     pub clock: Clock,
-    /// The platform.
+    /// The platform's services.
     pub services: Services,
-    /// Its peers.
+    /// The client for peers.
     pub peers: PeerClient,
-    /// What lets callers in.
+    /// Admission control of calls.
     pub admission: AdmissionControl,
-    /// What stores accepted jobs.
+    /// Stores accepted jobs.
     pub submitter: Submitter,
-    /// What passes tables on.
+    /// Relays followed tables to other processes.
     pub relay: Relay,
-    /// What passes registered workers on.
+    /// Relays registered workers to owners of pools.
     pub registry: Registry,
-    /// What it counts.
+    /// The metrics.
     pub metrics: Metrics,
-    /// True once it was asked to end.
+    /// True once shutdown was requested.
     pub stopping: watch::Receiver<bool>,
-    /// Told when this process takes charge of something.
-    pub duty_taken: Notify,
-    /// Told when the registered workers change.
+    /// Notified when this process takes a pool, or has to follow the table of workers itself.
+    pub pool_acquired: Notify,
+    /// Incremented when the registered workers change.
     pub workers_changed: watch::Sender<u64>,
     view: Mutex<View>,
     owned: Mutex<BTreeMap<PoolName, OwnerHandle>>,
@@ -89,7 +91,7 @@
 }
 
 impl Node {
-    /// Returns a process that knows nothing yet.
+    /// Returns a process that has read nothing yet.
     pub fn new(
         settings: Settings,
         services: Services,
@@ -108,7 +110,7 @@
             registry: Registry::new(),
             metrics,
             stopping,
-            duty_taken: Notify::new(),
+            pool_acquired: Notify::new(),
             workers_changed: watch::Sender::new(0),
             view: Mutex::new(View::default()),
             owned: Mutex::new(BTreeMap::new()),
@@ -116,41 +118,41 @@
         }
     }
 
-    /// Returns the time on the steady clock.
+    /// Returns the time on the monotonic clock.
     pub fn now(&self) -> Tick {
         self.clock.now()
     }
 
-    /// Returns how many starts of tasks a second the process bears.
+    /// Returns the process's capacity, in starts of tasks per second.
     pub fn strength(&self) -> Strength {
-        let by_cores = self.settings.cores / START_CORES;
-        let by_link = self.settings.link * MEGABIT / START_BITS;
+        let by_cores = self.settings.cores / CORE_SECONDS_PER_START;
+        let by_link = self.settings.link * BITS_PER_MEGABIT / LINK_BITS_PER_START;
         Strength(by_cores.min(by_link) as u32)
     }
 
-    /// Returns what is believed of the rest of the system. Nobody waits while holding it.
+    /// Locks the local view of the system. The guard must not be held across an await.
     pub fn view(&self) -> MutexGuard<'_, View> {
         locked(&self.view)
     }
 
-    /// Returns the pools that this process is in charge of.
+    /// Locks the pools that this process owns.
     pub fn owned(&self) -> MutexGuard<'_, BTreeMap<PoolName, OwnerHandle>> {
         locked(&self.owned)
     }
 
-    /// Returns the pools that this process has taken and whose rows it is reading; peers must not take
-    /// it for one that does not own them.
+    /// Locks the pools whose lease this process holds and whose rows it still reads. Peers must
+    /// count them as owned by it.
     pub fn loading(&self) -> MutexGuard<'_, BTreeMap<PoolName, Revision>> {
         locked(&self.loading)
     }
 
-    /// Returns the owner of a pool, if that is this process.
+    /// Returns the owner of a pool, if it runs in this process.
     pub fn local(&self, pool: &PoolName) -> Option<OwnerHandle> {
         self.owned().get(pool).cloned()
     }
 
-    /// Logs that nobody seems to be in charge of a pool, and by what.
-    pub fn note_vacant(&self, pool: &PoolName, now: Tick) {
+    /// Logs that a pool seems to have no live owner, with the evidence.
+    pub fn log_vacant_pool(&self, pool: &PoolName, now: Tick) {
         let view = self.view();
         let Some(lease) = view.leases.get(pool) else {
             return;
@@ -170,49 +172,50 @@
         );
     }
 
-    /// Tells whether this process owns nothing and leaves it to others to watch the owners.
+    /// Returns whether this process owns nothing and leaves watching the owners to the members.
     pub fn is_idle(&self) -> bool {
         !self.owns_any() && !self.view().is_watching_owners(&self.settings.node, self.now())
     }
 
-    /// Tells whether this process is in charge of anything, or is taking it.
+    /// Returns whether this process owns a pool or is taking one over.
     pub fn owns_any(&self) -> bool {
         !self.owned().is_empty() || !self.loading().is_empty()
     }
 
-    /// Tells whether the process was asked to end.
+    /// Returns whether shutdown was requested.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Returns for how long the store has been away for this process, if it is: its last call failed, and the answer
-    /// before is older than an idle process's polls explain.
+    /// Returns how long the store has been unavailable to this process, if it is: the last call
+    /// failed, and the last answer is older than an idle process's polls explain.
     pub fn outage(&self) -> Option<Millis> {
         let view = self.view();
-        let age = self.now().since(view.store_seen);
-        (view.store_failing && age >= AWAY_AGE).then_some(age)
+        let age = self.now().since(view.store_answered_at);
+        (view.store_failing && age >= STORE_OUTAGE_AGE).then_some(age)
     }
 
-    /// Notes whether the store answered; losing and regaining it is logged.
-    pub fn note_store<T>(&self, result: &Result<T, StoreError>) {
+    /// Records whether a call to the store was answered; logs when the store is lost and when it is
+    /// back.
+    pub fn record_store_result<T>(&self, result: &Result<T, StoreError>) {
         let now = self.now();
         let mut view = self.view();
-        let age = now.since(view.store_seen);
+        let age = now.since(view.store_answered_at);
         match result {
             Ok(_) | Err(StoreError::Refused(_)) => {
-                view.store_seen = now;
+                view.store_answered_at = now;
                 view.store_failing = false;
-                if age >= LOST_AGE {
-                    view.store_since = now;
+                if age >= STORE_LOST_AGE {
+                    view.store_stable_since = now;
                 }
-                if std::mem::take(&mut view.store_lost) {
+                if std::mem::take(&mut view.store_loss_logged) {
                     emit(Event::StoreBack, format_args!("age={age}ms"));
                 }
             }
             Err(error) => {
                 view.store_failing = true;
-                if !view.store_lost && age >= LOST_AGE {
-                    view.store_lost = true;
+                if !view.store_loss_logged && age >= STORE_LOST_AGE {
+                    view.store_loss_logged = true;
                     emit(Event::StoreLost, format_args!("age={age}ms error=\"{error}\""));
                 }
             }
--- a/reachhead_node/src/observe.rs
+++ b/reachhead_node/src/observe.rs
@@ -49,9 +49,9 @@
         json!({
             "node": self.node.settings.node,
             "configuration": view.config.as_ref().map(|config| config.version),
-            "configuration_age_ms": now.since(view.config_seen),
-            "leases_age_ms": now.since(view.leases_seen),
-            "store_age_ms": now.since(view.store_seen),
+            "configuration_age_ms": now.since(view.config_current_at),
+            "leases_age_ms": now.since(view.leases_current_at),
+            "store_age_ms": now.since(view.store_answered_at),
             "owned": owned,
             "leases": leases,
             "members": view.members.len(),
--- a/reachhead_node/src/order_permit.rs
+++ b/reachhead_node/src/order_permit.rs
@@ -1,4 +1,4 @@
-//! Whether the owner of all hosts may give an order now.
+//! Permits for orders about hosts, which only the holder of a confirmed lease may give.
 
 use std::sync::{
     Arc,
@@ -14,51 +14,51 @@
 
 use crate::node::Node;
 
-/// The lease of a duty, as far as orders need it.
+/// Issues order permits to the holder of a lease.
 pub struct PermitIssuer {
     node: Arc<Node>,
-    duty: PoolName,
+    lease: PoolName,
     token: FencingToken,
     confirmation: Mutex<LeaseConfirmation>,
     lost: AtomicBool,
 }
 
 impl PermitIssuer {
-    /// Returns the authority of the holder of a duty's lease.
-    pub fn new(node: Arc<Node>, duty: PoolName, token: FencingToken) -> Self {
+    /// Returns an issuer for the holder of `lease` with this fencing token.
+    pub fn new(node: Arc<Node>, lease: PoolName, token: FencingToken) -> Self {
         let lost = AtomicBool::new(false);
-        Self { node, duty, token, confirmation: Mutex::default(), lost }
+        Self { node, lease, token, confirmation: Mutex::default(), lost }
     }
 
-    /// Returns what an order may be given on, or `None` if the store does not confirm the lease now. Nothing may be
-    /// waited for between this and the order.
+    /// Returns a permit, or `None` if the store does not confirm the lease now. The caller must not
+    /// wait for anything between this and the order.
     pub async fn permit(&self) -> Option<OrderPermit> {
-        let checked = self.node.settings.machines.is_none_or(|machines| machines.fenced);
-        if checked {
+        let platform_checks_token = self.node.settings.machines.is_none_or(|hosts| hosts.fenced);
+        if platform_checks_token {
             return Some(OrderPermit { token: self.token, until: None });
         }
         let mut confirmation = self.confirmation.lock().await;
         if let Some(until) = confirmation.until(BootInstant::now()) {
             return Some(OrderPermit { token: self.token, until: Some(until) });
         }
-        let asked = BootInstant::now();
-        let read = self.node.services.store.read(vec![lease_key(&self.duty)]);
+        let sent = BootInstant::now();
+        let read = self.node.services.store.read(vec![lease_key(&self.lease)]);
         let rows = match time::timeout(ORDER_WINDOW.duration(), read).await {
             Ok(rows) => rows,
             Err(_) => {
-                log::info!("duty={} the store does not confirm the lease in time", self.duty);
+                log::info!("duty={} the store did not confirm the lease in time", self.lease);
                 return None;
             }
         };
-        self.node.note_store(&rows);
+        self.node.record_store_result(&rows);
         let found = match rows {
             Ok(rows) => rows.into_iter().flatten().next().map(|row| row.revision),
             Err(error) => {
-                log::info!("duty={} the store does not confirm the lease: {error}", self.duty);
+                log::info!("duty={} the store can't confirm the lease: {error}", self.lease);
                 return None;
             }
         };
-        if !confirmation.note(asked, found, self.token) {
+        if !confirmation.note(sent, found, self.token) {
             self.lost.store(true, Ordering::Relaxed);
             return None;
         }
@@ -66,7 +66,7 @@
         Some(OrderPermit { token: self.token, until: Some(until) })
     }
 
-    /// Tells whether the store said that somebody else holds the lease.
+    /// Returns whether the store reported another holder of the lease.
     pub fn is_lost(&self) -> bool {
         self.lost.load(Ordering::Relaxed)
     }
--- a/reachhead_node/src/owner/mod.rs
+++ b/reachhead_node/src/owner/mod.rs
@@ -176,7 +176,7 @@
             if lease.revision > self.handle.token {
                 self.lost = true;
             } else if lease.revision == self.handle.token {
-                self.pool.verify(view.leases_seen);
+                self.pool.verify(view.leases_current_at);
             }
         }
     }
@@ -190,7 +190,7 @@
             self.configured = Some(config.version);
             self.pool.configure(&config.customers);
         }
-        self.pool.drain_zones(&view.drained, view.config_seen);
+        self.pool.drain_zones(&view.drained, view.config_current_at);
         if let Some(lease) = view.leases.get(&fleet::name()) {
             self.pool.follow_ledger(FencingToken(lease.revision.0), now);
         }
@@ -325,7 +325,7 @@
         let handle = self.handle.clone();
         tokio::spawn(async move {
             let result = node.services.store.commit(batch.txn.clone()).await;
-            node.note_store(&result);
+            node.record_store_result(&result);
             if let Err(error) = &result {
                 emit(Event::RecordFailed, format_args!("token={} {error}", handle.token));
                 // An urgent transaction must not be repeated in a tight loop.
@@ -372,7 +372,7 @@
         tokio::spawn(async move {
             let scan = Scan { prefix, after: None, limit: u32::MAX };
             let page = node.services.store.scan(scan).await;
-            node.note_store(&page);
+            node.record_store_result(&page);
             match page {
                 Ok(page) => handle.send(Input::Scanned(page.rows)),
                 Err(error) => log::info!("the stored jobs can't be read: {error}"),
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -223,7 +223,7 @@
     async fn operators(&self, revision: Revision) -> Option<FeedPage> {
         let table = self.0.services.row_format.operator_table();
         let page = operator_changes(&self.0, table, revision).await;
-        self.0.note_store(&page);
+        self.0.record_store_result(&page);
         page.inspect_err(|error| log::info!("nothing can be told to a peer: {error}")).ok()
     }
 
@@ -234,7 +234,7 @@
         }
         let now = self.0.now();
         let view = self.0.view();
-        let store_age = now.since(view.store_seen).0;
+        let store_age = now.since(view.store_answered_at).0;
         PeerReply::Pong(Pong {
             owned,
             store_age,
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -1,5 +1,5 @@
-//! The process: its listeners, its tasks and its end. Everything is on one thread, since a machine
-//! gives the process a part of one core, and nothing that it shares needs a lock for long.
+//! Sets up the process: its services, listeners, tasks and shutdown. Everything runs on one thread,
+//! since a host gives the process a share of one core and no shared state needs a long lock.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -39,53 +39,56 @@
     registry,
 };
 
-/// Longest wait for an answer of the store. A slow store carries transactions of a part out one after
-/// the other, and one that is sent again too soon stands in line twice.
-const STORE_TIME: Duration = Duration::from_millis(1800);
+/// Timeout of a call to the store. A slow store commits the transactions of a shard one after the
+/// other, and one that is retried too soon is queued twice.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Longest wait for an answer of the feed beyond what it was asked to wait; a connection that has fallen
-/// silent is noticed by this.
-const FEED_TIME: Duration = Duration::from_millis(1200);
+/// Timeout of a poll of the change feed beyond its wait; it detects a connection that has gone
+/// silent.
+const FEED_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Longest wait for a worker's answer to an order. An order without an answer is sent again, which changes nothing if it was
-/// carried out, and a task waits for that; answers usually come within some milliseconds.
-const ORDER_TIME: Duration = Duration::from_millis(200);
+/// Timeout of an order to a worker. An order without an answer is sent again, which has no effect
+/// if it was carried out, and a task waits for that; workers usually answer within some
+/// milliseconds.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest wait for a worker's answer to a poll beyond what it was asked to wait. Workers answer within milliseconds; until a
-/// lost answer is noticed, the next steps of all jobs with a task there wait. It is more than an owner with much to do is
-/// late itself, since it would take all its workers for silent.
-const POLL_TIME: Duration = Duration::from_millis(700);
+/// Timeout of a long poll of a worker beyond its wait. Workers answer within milliseconds, and
+/// until a lost answer is detected the next steps of all jobs with a task there wait. It is longer
+/// than the delay of a busy owner itself, which would otherwise take all its workers for silent.
+const POLL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Longest wait for an answer about hosts.
-const MACHINE_TIME: Duration = Duration::from_millis(1500);
+/// Timeout of a call about hosts.
+const HOST_API_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Longest wait for advice: a call of thirty workers, with some that wait before it.
-const ADVICE_TIME: Duration = Duration::from_millis(4000);
+/// Timeout of a call to the advisor: one call covers thirty workers, and some calls wait before it.
+const ADVICE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// Longest pause between two looks whether a part of the store is back. All jobs of a pool wait for the one of its parts that
-/// is back last; two looks a second by its owner cost the store nothing.
-const PROBE_PAUSE: Duration = Duration::from_millis(400);
+/// Maximum pause between two probes of a shard of the store that failed. All jobs of a pool wait
+/// for the last of its shards to be back, and two probes a second by its owner cost the store
+/// nothing.
+const MAX_PROBE_PAUSE: Duration = Duration::from_millis(400);
 
-/// Calls to the store a second that one process makes at most; all together share the limit.
-const STORE_CALLS: u32 = 250;
+/// Maximum calls to the store per second by this process; all processes together share the store's
+/// limit.
+const MAX_STORE_CALLS_PER_S: u32 = 250;
 
-/// Largest body that is read; the configuration's own limit is checked then.
-const BODY_MOST: usize = 4 << 20;
+/// Maximum size of a request body in bytes; the configuration's own limit is checked afterwards.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Port of the metrics, as the deploy file has it.
+/// Port of the metrics, as in the deploy file.
 const METRICS_PORT: u16 = 9464;
 
-/// How long new callers are still taken after the process was asked to end: the platform notices
-/// after two misses, a second apart.
-const DRAIN_TIME: Duration = Duration::from_millis(2400);
+/// How long new callers are accepted after shutdown was requested: the platform notices after two
+/// missed readiness checks, a second apart.
+const DRAIN_PERIOD: Duration = Duration::from_millis(2400);
 
-/// Part of the platform's patience that is left unused at the end.
-const END_MARGIN: Duration = Duration::from_millis(700);
+/// Part of the platform's grace period that is left unused.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
-/// Why the process can't run.
+/// Errors that stop the process.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// There are no settings.
+    /// The settings are missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The system refused a listener, a signal or a thread.
@@ -93,7 +96,7 @@
     System(#[from] io::Error),
 }
 
-/// Runs the process until it is asked to end.
+/// Runs the process until shutdown is requested.
 ///
 /// # Errors
 ///
@@ -126,9 +129,9 @@
     let begun = time::Instant::now();
     let _ = stop.send(true);
     release_all(&node).await;
-    time::sleep_until(begun + DRAIN_TIME).await;
+    time::sleep_until(begun + DRAIN_PERIOD).await;
     let _ = close.send(true);
-    let end = begun + node.settings.grace.duration().saturating_sub(END_MARGIN);
+    let end = begun + node.settings.grace.duration().saturating_sub(SHUTDOWN_MARGIN);
     let drained = time::timeout_at(end, async { while listeners.join_next().await.is_some() {} });
     match drained.await {
         Ok(()) => emit(Event::ShutdownDone, format_args!("node={}", node.settings.node)),
@@ -141,20 +144,20 @@
     let table = |deadline| TableStore::new(Arc::clone(client), settings.store, deadline);
     Services {
         store: Arc::new(
-            GuardedStore::new(table(STORE_TIME), STORE_CALLS)
+            GuardedStore::new(table(STORE_TIMEOUT), MAX_STORE_CALLS_PER_S)
                 .with_parts(part_of)
                 .with_adaptive_timeouts()
-                .with_longest_pause(PROBE_PAUSE),
+                .with_longest_pause(MAX_PROBE_PAUSE),
         ),
-        feed: Arc::new(table(FEED_TIME)),
-        workers: Arc::new(HttpWorkers::new(Arc::clone(client), ORDER_TIME, POLL_TIME)),
-        machines: settings.machines.map(|machines| {
+        feed: Arc::new(table(FEED_TIMEOUT)),
+        workers: Arc::new(HttpWorkers::new(Arc::clone(client), ORDER_TIMEOUT, POLL_TIMEOUT)),
+        hosts: settings.machines.map(|hosts| {
             let node = settings.node.clone();
-            Arc::new(HttpHostApi::new(Arc::clone(client), machines.address, node, MACHINE_TIME))
+            Arc::new(HttpHostApi::new(Arc::clone(client), hosts.address, node, HOST_API_TIMEOUT))
                 as _
         }),
         advisor: settings.advice.map(|address| {
-            Arc::new(HttpAdvisor::new(Arc::clone(client), address, ADVICE_TIME)) as _
+            Arc::new(HttpAdvisor::new(Arc::clone(client), address, ADVICE_TIMEOUT)) as _
         }),
         row_format: Arc::new(PlatformRowFormat::new()),
     }
@@ -176,20 +179,20 @@
     }
     for (address, handler) in handlers {
         let listener = http::listen(address).await?;
-        listeners.spawn(http::serve(listener, handler, BODY_MOST, closing.clone()));
+        listeners.spawn(http::serve(listener, handler, MAX_BODY_BYTES, closing.clone()));
     }
-    // Peers and operators are answered to the very end.
+    // Peers and operators are served until the process ends.
     let metrics = SocketAddr::new(node.settings.peer.ip(), METRICS_PORT);
-    let inner: [(SocketAddr, Arc<dyn Handler>); 2] = [
+    let internal: [(SocketAddr, Arc<dyn Handler>); 2] = [
         (node.settings.peer, Arc::new(PeerHandler(Arc::clone(node)))),
         (metrics, Arc::new(crate::observe::ObserveHandler::new(Arc::clone(node), registry))),
     ];
-    for (address, handler) in inner {
+    for (address, handler) in internal {
         let listener = http::listen(address).await?;
-        let never = watch::channel(false);
+        let never_closing = watch::channel(false);
         tokio::spawn(async move {
-            let _keep = never.0;
-            http::serve(listener, handler, BODY_MOST, never.1).await;
+            let _keep = never_closing.0;
+            http::serve(listener, handler, MAX_BODY_BYTES, never_closing.1).await;
         });
     }
     Ok(listeners)
@@ -208,18 +211,19 @@
     tokio::spawn(admission::keep_current(Arc::clone(node)));
 }
 
-/// Reads the settings file again. What a running process can't change needs a restart.
+/// Reads the settings file again and logs whether it changed. A running process can't apply
+/// changes; they need a restart.
 fn reload(node: &Node) {
     match Settings::load() {
         Ok(settings) if settings == node.settings => {
-            log::info!("settings are reloaded, nothing changed");
+            log::info!("settings reloaded, nothing changed");
         }
-        Ok(_) => log::warn!("settings changed; they come into force at the next start"),
-        Err(error) => log::error!("settings can't be reloaded, the old ones stay: {error}"),
+        Ok(_) => log::warn!("settings changed; they take effect at the next start"),
+        Err(error) => log::error!("settings can't be reloaded, keeping the old ones: {error}"),
     }
 }
 
-/// Gives all pools back.
+/// Releases all pools, so that peers can take them over.
 async fn release_all(node: &Node) {
     let handles: Vec<_> = node.owned().values().cloned().collect();
     let mut waits = Vec::new();
@@ -229,7 +233,7 @@
         waits.push(receiver);
     }
     for wait in waits {
-        // An owner that has ended on its own drops its side.
+        // An owner that has ended on its own drops its side of the channel.
         let _ = wait.await;
     }
 }
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -113,7 +113,7 @@
     let hosts = fleet::name();
     let owns_hosts = node.owned().contains_key(&hosts) || node.loading().contains_key(&hosts);
     owns_hosts
-        || !relay::may_be_late(node)
+        || !relay::allows_relayed_age(node)
         || !fleet::is_wanted(node)
         || node.now() < *locked(&node.registry.direct)
 }
@@ -132,7 +132,7 @@
     loop {
         let pools = pools(&node);
         // What the table's last poll tells may be older than an answer that comes before it.
-        if pools.is_empty() || is_direct(&node) || node.view().workers_followed {
+        if pools.is_empty() || is_direct(&node) || node.view().follows_workers {
             known = None;
             *locked(&node.registry.last_answer) = node.now();
             time::sleep(PAUSE).await;
@@ -168,7 +168,7 @@
     if now.since(*locked(&node.registry.last_answer)) >= PATIENCE {
         log::info!("the owner of all hosts does not tell of workers, so they are followed");
         *locked(&node.registry.direct) = now + DIRECT_TIME;
-        node.duty_taken.notify_one();
+        node.pool_acquired.notify_one();
     }
 }
 
@@ -187,7 +187,7 @@
 fn apply(node: &Node, page: WorkersPage) {
     {
         let mut view = node.view();
-        if view.workers_known && !page.whole && page.changes.is_empty() {
+        if view.workers_loaded && !page.whole && page.changes.is_empty() {
             return;
         }
         if page.whole {
@@ -203,7 +203,7 @@
                 }
             }
         }
-        view.workers_known = true;
+        view.workers_loaded = true;
     }
     node.workers_changed.send_modify(|count| *count += 1);
 }
@@ -214,8 +214,8 @@
     let begun = node.now();
     loop {
         let now = node.now();
-        let fresh = now.since(node.view().workers_seen) <= AGE_MOST;
-        if !node.owned().contains_key(&fleet::name()) || !node.view().workers_known || !fresh {
+        let fresh = now.since(node.view().workers_current_at) <= AGE_MOST;
+        if !node.owned().contains_key(&fleet::name()) || !node.view().workers_loaded || !fresh {
             return None;
         }
         let page = page(node, &request);
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -139,14 +139,14 @@
 }
 
 /// Tells whether knowledge may be as old as it gets by way of another process.
-pub fn may_be_late(node: &Node) -> bool {
+pub fn allows_relayed_age(node: &Node) -> bool {
     RELAYED_AGE <= config_age(node)
 }
 
 /// Tells whether this process leaves the store to others: it owns nothing, members watch the owners, and knowledge may be as
 /// old as it gets that way.
-pub fn is_relieved(node: &Node) -> bool {
-    may_be_late(node) && node.is_idle()
+pub fn uses_relay(node: &Node) -> bool {
+    allows_relayed_age(node) && node.is_idle()
 }
 
 /// Returns a whole table.
@@ -156,7 +156,7 @@
 /// Any [`StoreError`].
 pub async fn table(node: &Node, table: &'static str) -> Result<Followed, StoreError> {
     let at = node.now();
-    if is_relieved(node)
+    if uses_relay(node)
         && let Some(TableReply::Page { page, held, age }) = ask(node, table, None, WAIT).await
     {
         return Ok(followed(at, page, held, age));
@@ -179,7 +179,7 @@
     wait: Millis,
 ) -> Result<Followed, FeedError> {
     let at = node.now();
-    if is_relieved(node) {
+    if uses_relay(node) {
         match ask(node, table, Some(revision), WAIT).await {
             Some(TableReply::Page { page, held, age }) => return Ok(followed(at, page, held, age)),
             Some(TableReply::Forgotten) => return Err(FeedError::Forgotten),
@@ -239,7 +239,7 @@
     let Some(table) = tables.into_iter().find(|table| *table == request.table) else {
         return TableReply::Unknown;
     };
-    if is_relieved(node) {
+    if uses_relay(node) {
         return TableReply::Unknown;
     }
     let wait = request.wait.min(WAIT);
@@ -273,7 +273,7 @@
 /// Returns what a member knows now of a table beyond a revision, if this process leaves the store to others; members hear of a
 /// change within milliseconds.
 pub async fn glance(node: &Node, table: &'static str, after: Revision) -> Option<Followed> {
-    if !is_relieved(node) {
+    if !uses_relay(node) {
         return None;
     }
     let at = node.now();
--- a/reachhead_node/src/submit/mod.rs
+++ b/reachhead_node/src/submit/mod.rs
@@ -239,7 +239,7 @@
         }
     }
     let result = node.services.store.commit(txn).await;
-    node.note_store(&result);
+    node.record_store_result(&result);
     match result {
         Ok(Commit::Done(revision)) => {
             accept(node, pool, batch, revision);
--- a/reachhead_node/src/submit/peers.rs
+++ b/reachhead_node/src/submit/peers.rs
@@ -119,7 +119,7 @@
     // One that fails at once is gone; one that is late has much to do, and is not helped by others.
     let gone = begun.elapsed() < HAND_ON_TIME;
     // An owner that can't store may be cut off from the store alone.
-    let sighted = node.now().since(node.view().store_seen) <= SIGHT_AGE;
+    let sighted = node.now().since(node.view().store_answered_at) <= SIGHT_AGE;
     let mut left = Vec::new();
     for (submission, outcome) in batch.into_iter().zip(outcomes) {
         let in_time = submission.until > Instant::now();
@@ -161,7 +161,7 @@
     if batch.is_empty() {
         return batch;
     }
-    let peer = node.view().sighted_peer(node.now(), HEARD_TIME, SIGHT_AGE);
+    let peer = node.view().peer_reaching_store(node.now(), HEARD_TIME, SIGHT_AGE);
     let Some(peer) = peer else {
         refuse(batch, ErrorKind::NotStored);
         return Vec::new();
--- a/reachhead_node/src/takeover.rs
+++ b/reachhead_node/src/takeover.rs
@@ -1,8 +1,9 @@
-//! Taking a pool over: its lease, the fences of its parts, and what the predecessor left.
+//! Takeover of a pool: its lease, the fences of its shards, and the state that the previous owner
+//! left.
 //!
-//! A takeover that ends half-way, since the process is killed or the store fails, leaves a lease that names this
-//! process and some fences at its token. The next one, by whomever, takes the lease again with a higher token and
-//! raises every fence over it.
+//! A takeover that stops half-way, because the process is killed or the store fails, leaves a lease
+//! that names this process and some fences at its token. The next takeover, by any process, takes
+//! the lease with a higher token and raises every fence above it.
 
 use std::collections::BTreeMap;
 
@@ -32,14 +33,15 @@
 
 use crate::{node::Node, owner::id_of, view::LeaseView};
 
-/// Tries to raise the fence of one part; each needs a lost answer or another candidate's raise to follow.
-const RAISE_TRIES: usize = 6;
+/// Maximum attempts to raise the fence of one shard; each further one needs a lost answer or
+/// another candidate's raise before it.
+const MAX_FENCE_ATTEMPTS: usize = 6;
 
-/// Writes the lease; `None` if somebody else did first.
+/// Writes the lease of a pool; returns `None` if another process wrote it first.
 ///
 /// # Errors
 ///
-/// What the store said; after any but `Lost` the lease is not this process's.
+/// The error of the store. After any error but `Lost` this process does not hold the lease.
 pub async fn take(
     node: &Node,
     pool: &PoolName,
@@ -54,101 +56,110 @@
         .with_check(key.clone(), known.map(|known| known.revision))
         .with_write(key.clone(), value(&record));
     let result = node.services.store.commit(txn).await;
-    node.note_store(&result);
+    node.record_store_result(&result);
     match result {
-        Ok(Commit::Done(revision)) => Ok(Some(adopt(node, pool, record, revision))),
+        Ok(Commit::Done(revision)) => Ok(Some(record_lease(node, pool, record, revision))),
         Ok(Commit::Conflict(conflicts)) => {
             let row = conflicts.into_iter().find_map(|conflict| conflict.row);
             if let Some(row) = row {
-                adopt(node, pool, row.parse()?, row.revision);
+                record_lease(node, pool, row.parse()?, row.revision);
             }
             Ok(None)
         }
         Err(StoreError::Lost(error)) => {
-            log::info!("pool={pool} the answer to the lease is lost, so it is read: {error}");
+            log::info!(
+                "pool={pool} the answer to the lease write was lost, reading the lease: {error}"
+            );
             let rows = node.services.store.read(vec![key]).await?;
             let Some(row) = rows.into_iter().flatten().next() else {
                 return Ok(None);
             };
             let found: LeaseRecord = row.parse()?;
-            let view = adopt(node, pool, found.clone(), row.revision);
+            let view = record_lease(node, pool, found.clone(), row.revision);
             Ok((found == record).then_some(view))
         }
         Err(error) => Err(error),
     }
 }
 
-fn adopt(node: &Node, pool: &PoolName, record: LeaseRecord, revision: Revision) -> LeaseView {
+fn record_lease(
+    node: &Node,
+    pool: &PoolName,
+    record: LeaseRecord,
+    revision: Revision,
+) -> LeaseView {
     let now = node.now();
-    node.view().adopt_lease(pool.clone(), record.clone(), revision, now);
+    node.view().update_lease(pool.clone(), record.clone(), revision, now);
     LeaseView { record, revision, since: now }
 }
 
-/// The rows of one part.
-struct PartRows {
+/// The rows of one shard.
+struct ShardRows {
     fence: Revision,
     jobs: Vec<Row>,
     progress: Vec<Row>,
 }
 
-/// Reads what a predecessor left of a pool.
+/// Reads the state that the previous owner of a pool left.
 ///
-/// Load: a process on a weak link takes over a pool with hundreds of jobs. All parts at once are more than the link carries in the time
-/// in which each has to come, and if all were read anew after each failure it would never have them. So what was read is kept,
-/// which is sound since nobody else writes below this owner's fences, and after a failure parts are read one by one.
+/// On a weak link all shards at once may be more than arrives within the timeout of a read, and a
+/// loader that started over after each failure would never finish. So rows that were read are kept,
+/// which is safe because no other process writes below this owner's fences, and after a failure
+/// shards are read one at a time.
 pub struct Loader<'a> {
     node: &'a Node,
     pool: &'a PoolName,
     token: Revision,
-    /// For how long an order of a predecessor may have effect.
+    /// How long an order of a previous owner may have effect.
     effect: Millis,
-    parts: BTreeMap<Shard, PartRows>,
+    shards: BTreeMap<Shard, ShardRows>,
     roster: Option<Vec<Row>>,
-    /// A read has failed.
-    narrow: bool,
+    /// A read has failed, so shards are read one at a time.
+    sequential: bool,
 }
 
 impl<'a> Loader<'a> {
     /// Returns a loader that has read nothing yet.
     pub fn new(node: &'a Node, pool: &'a PoolName, token: Revision, effect: Millis) -> Self {
-        Self { node, pool, token, effect, parts: BTreeMap::new(), roster: None, narrow: false }
+        Self { node, pool, token, effect, shards: BTreeMap::new(), roster: None, sequential: false }
     }
 
-    /// Fences all parts and reads what is missing; `None` if a later owner has fenced one of them.
+    /// Fences all shards and reads the missing rows; returns `None` if a later owner has fenced a
+    /// shard.
     ///
     /// # Errors
     ///
-    /// What the store said of a read that failed; the lease still names this process.
+    /// The error of the store for a read that failed; the lease still names this process.
     pub async fn load(&mut self) -> Result<Option<RecoveredState>, StoreError> {
         let result = self.read().await;
-        self.narrow |= result.is_err();
+        self.sequential |= result.is_err();
         if !result? {
             return Ok(None);
         }
-        self.node.note_store(&Ok(()));
+        self.node.record_store_result(&Ok(()));
         let (roster, errors) = StoredRoster::read(&self.roster.take().unwrap_or_default());
         for error in errors {
             emit(Event::RowRefused, error);
         }
         let mut found = RecoveredState { effect: self.effect, roster, ..RecoveredState::default() };
-        for (shard, part) in std::mem::take(&mut self.parts) {
-            found.fences.insert(shard, part.fence);
-            found.jobs.append(&mut stored_jobs(&part));
+        for (shard, shard_rows) in std::mem::take(&mut self.shards) {
+            found.fences.insert(shard, shard_rows.fence);
+            found.jobs.append(&mut stored_jobs(&shard_rows));
         }
         Ok(Some(found))
     }
 
-    /// Reads what is missing; tells whether no later owner has fenced a part.
+    /// Reads the missing rows; returns `false` if a later owner has fenced a shard.
     async fn read(&mut self) -> Result<bool, StoreError> {
         let missing: Vec<Shard> =
-            Shard::all().filter(|shard| !self.parts.contains_key(shard)).collect();
-        let width = if self.narrow { 1 } else { missing.len().max(1) };
-        let (node, pool, token, narrow) = (self.node, self.pool, self.token, self.narrow);
+            Shard::all().filter(|shard| !self.shards.contains_key(shard)).collect();
+        let concurrency = if self.sequential { 1 } else { missing.len().max(1) };
+        let (node, pool, token, sequential) = (self.node, self.pool, self.token, self.sequential);
         let reads = stream::iter(missing)
-            .map(|shard| async move { load_part(node, pool, token, shard, narrow).await })
-            .buffer_unordered(width)
+            .map(|shard| async move { load_shard(node, pool, token, shard, sequential).await })
+            .buffer_unordered(concurrency)
             .collect::<Vec<_>>();
-        // The roster is in the lease's own part, so the lease alone fences it.
+        // The roster is in the same shard as the lease, so the lease alone fences it.
         let scan = Scan { prefix: roster_prefix(pool), after: None, limit: u32::MAX };
         let known = self.roster.take();
         let roster = async {
@@ -157,12 +168,12 @@
                 None => node.services.store.scan(scan).await.map(|page| page.rows),
             }
         };
-        let (parts, roster) = join(reads, roster).await;
+        let (shards, roster) = join(reads, roster).await;
         let mut failed = None;
-        for part in parts {
-            match part {
-                Ok(Some((shard, part))) => {
-                    self.parts.insert(shard, part);
+        for shard_rows in shards {
+            match shard_rows {
+                Ok(Some((shard, shard_rows))) => {
+                    self.shards.insert(shard, shard_rows);
                 }
                 Ok(None) => return Ok(false),
                 Err(error) => failed = Some(error),
@@ -176,27 +187,29 @@
     }
 }
 
-/// Fences a part and then reads it: what is read before the fence is up may still change.
-async fn load_part(
+/// Fences a shard and then reads it: rows that are read before the fence is raised may still
+/// change.
+async fn load_shard(
     node: &Node,
     pool: &PoolName,
     token: Revision,
     shard: Shard,
-    narrow: bool,
-) -> Result<Option<(Shard, PartRows)>, StoreError> {
-    let Some(fence) = raise(node, pool, token, shard).await? else {
+    sequential: bool,
+) -> Result<Option<(Shard, ShardRows)>, StoreError> {
+    let Some(fence) = raise_fence(node, pool, token, shard).await? else {
         return Ok(None);
     };
     let store = &node.services.store;
-    let part = |prefix| store.scan(Scan { prefix, after: None, limit: u32::MAX });
-    let (jobs, progress) = (part(job_prefix(pool, shard)), part(progress_prefix(pool, shard)));
+    let scan_all = |prefix| store.scan(Scan { prefix, after: None, limit: u32::MAX });
+    let (jobs, progress) =
+        (scan_all(job_prefix(pool, shard)), scan_all(progress_prefix(pool, shard)));
     let (jobs, progress) =
-        if narrow { (jobs.await?, progress.await?) } else { try_join(jobs, progress).await? };
-    Ok(Some((shard, PartRows { fence, jobs: jobs.rows, progress: progress.rows })))
+        if sequential { (jobs.await?, progress.await?) } else { try_join(jobs, progress).await? };
+    Ok(Some((shard, ShardRows { fence, jobs: jobs.rows, progress: progress.rows })))
 }
 
-/// Raises the fence of a part; `None` if a later owner has done so.
-async fn raise(
+/// Raises the fence of a shard; returns `None` if a later owner has raised it.
+async fn raise_fence(
     node: &Node,
     pool: &PoolName,
     token: Revision,
@@ -206,27 +219,29 @@
     let fence = Fence::new(pool.clone(), shard, FencingToken(token.0), owner);
     let key = fence_key(pool, shard);
     let mut found = read_row(node, key.clone()).await?;
-    for _ in 0..RAISE_TRIES {
+    for _ in 0..MAX_FENCE_ATTEMPTS {
         let txn = match fence.next(found.as_ref())? {
             FenceStep::Raised(revision) => return Ok(Some(revision)),
             FenceStep::Superseded => return Ok(None),
             FenceStep::Write(txn) => txn,
         };
         let result = node.services.store.commit(txn).await;
-        node.note_store(&result);
+        node.record_store_result(&result);
         found = match result {
             Ok(Commit::Done(revision)) => return Ok(Some(revision)),
             Ok(Commit::Conflict(conflicts)) => {
                 conflicts.into_iter().find_map(|conflict| conflict.row)
             }
             Err(StoreError::Lost(error)) => {
-                log::info!("pool={pool} part={shard} the answer to the fence is lost: {error}");
+                log::info!(
+                    "pool={pool} part={shard} the answer to the fence write was lost: {error}"
+                );
                 read_row(node, key.clone()).await?
             }
             Err(error) => return Err(error),
         };
     }
-    Err(StoreError::Busy(format!("the fence of part {shard} changes all the time")))
+    Err(StoreError::Busy(format!("the fence of shard {shard} changed on every attempt")))
 }
 
 async fn read_row(node: &Node, key: Key) -> Result<Option<Row>, StoreError> {
@@ -234,17 +249,18 @@
     Ok(rows.into_iter().flatten().next())
 }
 
-fn stored_jobs(part: &PartRows) -> Vec<StoredJob> {
+fn stored_jobs(shard_rows: &ShardRows) -> Vec<StoredJob> {
     let progress: BTreeMap<JobId, &Row> =
-        part.progress.iter().filter_map(|row| Some((id_of(&row.key)?, row))).collect();
-    let mut stored = Vec::with_capacity(part.jobs.len());
-    for row in &part.jobs {
+        shard_rows.progress.iter().filter_map(|row| Some((id_of(&row.key)?, row))).collect();
+    let mut stored = Vec::with_capacity(shard_rows.jobs.len());
+    for row in &shard_rows.jobs {
         let Some(id) = id_of(&row.key) else {
             continue;
         };
         match stored_job(id, row, progress.get(&id).copied()) {
             Ok(job) => stored.push(job),
-            // Without its progress a job would run again what is done, so it is left alone; the others go on.
+            // Without its progress a job would repeat finished work, so this job is skipped and the
+            // others go on.
             Err(error) => emit(Event::RowRefused, error),
         }
     }
--- a/reachhead_node/src/view.rs
+++ b/reachhead_node/src/view.rs
@@ -1,4 +1,5 @@
-//! What a process believes of the rest of the system, and since when.
+//! The process's local view of the system: configuration, leases, members, workers and peers, with
+//! the age of each.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,89 +22,90 @@
 
 use crate::peer::Pong;
 
-/// A lease as the store has it.
+/// A lease as last read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseView {
-    /// Who is in charge.
+    /// The stored lease, which names the owner.
     pub record: LeaseRecord,
     /// The row's revision, which is the owner's fencing token.
     pub revision: Revision,
-    /// When this process first saw it so.
+    /// When this process first saw this revision of the lease.
     pub since: Tick,
 }
 
-/// A process on the list of members.
+/// A member of the cluster as last read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberView {
-    /// What it says of itself.
+    /// The member's stored entry.
     pub record: MemberRecord,
     /// The row's revision.
     pub revision: Revision,
 }
 
-/// What was heard of a peer.
+/// The last status that a peer reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// When it last answered.
+    /// When the peer answered.
     pub at: Tick,
-    /// Where it answered.
+    /// The address at which it answered.
     pub address: SocketAddr,
-    /// What it said of itself.
+    /// The status.
     pub pong: Pong,
 }
 
-/// Everything that a process follows.
+/// The state that this process follows.
 #[derive(Debug, Default)]
 pub struct View {
     /// The configuration in force.
     pub config: Option<Arc<Configuration>>,
-    /// When the operators' table was last known to be as it is here.
-    pub config_seen: Tick,
-    /// The store's revision at that time.
+    /// When `config` was last confirmed to be current.
+    pub config_current_at: Tick,
+    /// The store's revision up to which `config` is current.
     pub config_revision: Revision,
-    /// Who is in charge of which pool.
+    /// The leases, by pool.
     pub leases: BTreeMap<PoolName, LeaseView>,
-    /// When the leases were first read: for how long they had been so before is not known.
-    pub leases_read: Option<Tick>,
-    /// Nobody was on the list of members when it was first read.
-    pub is_first: bool,
-    /// When the leases were last known to be as they are here.
-    pub leases_seen: Tick,
-    /// The store's revision up to which every lease is known.
+    /// When the leases were first read. Their age before that is unknown.
+    pub leases_first_read_at: Option<Tick>,
+    /// The membership list was empty when it was first read.
+    pub started_without_members: bool,
+    /// When the leases were last confirmed to be current.
+    pub leases_current_at: Tick,
+    /// The store's revision up to which the leases are current.
     pub leases_revision: Revision,
-    /// The processes that watch the owners of pools and take what is vacant.
+    /// The members: processes that watch the owners of pools and take over vacant pools.
     pub members: BTreeMap<NodeName, MemberView>,
-    /// The workers that are registered.
+    /// The registered workers.
     pub workers: BTreeMap<WorkerId, WorkerInfo>,
-    /// The table of workers is followed, so `workers` is not left over from an earlier time.
-    pub workers_known: bool,
-    /// This process follows the table of workers itself.
-    pub workers_followed: bool,
-    /// When the table of workers was last known to be as it is here, if this process follows it.
-    pub workers_seen: Tick,
-    /// The waves that operators ask for.
+    /// The table of workers has been loaded and is kept current, so `workers` is not left over from
+    /// an earlier ownership.
+    pub workers_loaded: bool,
+    /// This process follows the table of workers at the store itself.
+    pub follows_workers: bool,
+    /// When the table of workers was last confirmed to be current, if this process follows it.
+    pub workers_current_at: Tick,
+    /// The maintenance waves that operators have requested.
     pub waves: BTreeMap<WaveName, WaveOrder>,
-    /// The zones in which nothing is to be started.
+    /// The drained zones, in which no task is started.
     pub drained: BTreeSet<ZoneName>,
-    /// What was heard of owners.
+    /// The last status of each peer.
     pub peers: BTreeMap<NodeName, PeerStatus>,
     /// When the store last answered this process.
-    pub store_seen: Tick,
-    /// Since when it has answered without a gap.
-    pub store_since: Tick,
+    pub store_answered_at: Tick,
+    /// Since when the store has answered without a gap.
+    pub store_stable_since: Tick,
     /// The last call to the store failed.
     pub store_failing: bool,
-    /// It was logged that the store is lost.
-    pub store_lost: bool,
+    /// The loss of the store has been logged.
+    pub store_loss_logged: bool,
 }
 
 impl View {
-    /// Returns where the owner of a pool answers, unless this process does not know it. A peer that says that it
-    /// holds a newer lease is believed: a process that the store turns away does not see leases change.
+    /// Returns the owner of a pool and its address, if known. A peer that reports a newer lease is
+    /// believed, because a process that the store rejects does not see leases change.
     pub fn owner(&self, pool: &PoolName) -> Option<(NodeName, SocketAddr)> {
         let lease = self.leases.get(pool);
         let revision = lease.map(|lease| lease.revision).unwrap_or_default();
-        let claimed = self
+        let newer_claim = self
             .peers
             .iter()
             .filter_map(|(peer, status)| {
@@ -111,42 +113,44 @@
             })
             .filter(|(token, ..)| *token > revision)
             .max();
-        if let Some((_, peer, address)) = claimed {
+        if let Some((_, peer, address)) = newer_claim {
             return Some((peer.clone(), address));
         }
         let record = &lease?.record;
         let owner = record.owner.clone()?;
-        let listed = || Some(self.members.get(&owner)?.record.address);
-        let address = record.address.or_else(listed)?;
+        let member_address = || Some(self.members.get(&owner)?.record.address);
+        let address = record.address.or_else(member_address)?;
         Some((owner, address))
     }
 
-    /// Returns where a peer answers that has reached the store lately, the one that did so last.
-    pub fn sighted_peer(
+    /// Returns the address of the peer with the most recent contact with the store, among those
+    /// that answered within `max_status_age` and reached the store within `max_store_age`.
+    pub fn peer_reaching_store(
         &self,
         now: Tick,
-        heard_time: Millis,
-        store_age: Millis,
+        max_status_age: Millis,
+        max_store_age: Millis,
     ) -> Option<SocketAddr> {
-        let lately = |status: &PeerStatus| {
-            now.since(status.at) <= heard_time && status.pong.store_age <= store_age.0
+        let is_recent = |status: &PeerStatus| {
+            now.since(status.at) <= max_status_age && status.pong.store_age <= max_store_age.0
         };
         self.peers
             .iter()
-            .filter(|(_, status)| lately(status))
+            .filter(|(_, status)| is_recent(status))
             .min_by_key(|(_, status)| status.pong.store_age)
             .map(|(_, status)| status.address)
     }
 
-    /// Returns a process as a candidate for pools.
+    /// Returns a process as a candidate for owning pools.
     pub fn candidate<'a>(&self, node: &'a NodeName, member: &MemberRecord) -> Candidate<'a> {
         let own = |lease: &&LeaseView| lease.record.owner.as_ref() == Some(node);
         let owned = self.leases.values().filter(own).count();
         Candidate { node, strength: member.strength, owned }
     }
 
-    /// Takes over a configuration if it is newer; versions never go back.
-    pub fn adopt(&mut self, config: Configuration) -> bool {
+    /// Replaces the configuration if `config` is newer, and returns whether it was; versions never
+    /// go back.
+    pub fn update_config(&mut self, config: Configuration) -> bool {
         let newer = self.config.as_ref().is_none_or(|known| known.version < config.version);
         if newer {
             self.config = Some(Arc::new(config));
@@ -154,8 +158,8 @@
         newer
     }
 
-    /// Takes over a lease if its row is newer; tells whether somebody else is in charge by it.
-    pub fn adopt_lease(
+    /// Replaces a lease if the row is newer; returns whether the owner changed.
+    pub fn update_lease(
         &mut self,
         pool: PoolName,
         record: LeaseRecord,
@@ -166,8 +170,8 @@
         if known.is_some_and(|known| known.revision >= revision) {
             return false;
         }
-        let news = known.is_none_or(|known| known.record.owner != record.owner);
+        let owner_changed = known.is_none_or(|known| known.record.owner != record.owner);
         self.leases.insert(pool, LeaseView { record, revision, since: now });
-        news
+        owner_changed
     }
 }
