--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -193,9 +193,9 @@
 async fn refresh(node: &Arc<Node>) -> Result<(), String> {
     let operators = Operators(Arc::clone(node));
     let known = node.view().config_revision;
-    if let Some(told) = relay::glance(node, operators.table(), known).await {
+    if let Some(told) = relay::latest_from_member(node, operators.table(), known).await {
         operators.apply(&told.page.changes);
-        operators.seen(told.at, told.page.revision);
+        operators.confirm_current(told.at, told.page.revision);
         return Ok(());
     }
     let sent = node.now();
@@ -214,7 +214,7 @@
         }
     };
     operators.apply(&page.changes);
-    operators.seen(sent, page.revision);
+    operators.confirm_current(sent, page.revision);
     Ok(())
 }
 
@@ -250,9 +250,9 @@
 async fn ask_peer(node: &Node) -> Result<FeedPage, String> {
     let peer = node.view().peer_reaching_store(node.now(), PEER_TIME, PEER_TIME);
     let peer = peer.ok_or("no peer reaches it")?;
-    let request = PeerRequest::Operators(node.view().config_revision);
-    match node.peers.ask(peer, &request, LOOK_TIME).await {
-        Ok(PeerReply::Operators(Some(page))) => Ok(page),
+    let request = PeerRequest::OperatorChanges(node.view().config_revision);
+    match node.peers.call(peer, &request, LOOK_TIME).await {
+        Ok(PeerReply::OperatorChanges(Some(page))) => Ok(page),
         Ok(_) => Err(format!("peer={peer} can't say")),
         Err(error) => Err(format!("peer={peer} {error}")),
     }
--- a/reachhead_node/src/election.rs
+++ b/reachhead_node/src/election.rs
@@ -259,7 +259,7 @@
             return;
         }
     };
-    node.metrics.taken.inc();
+    node.metrics.pools_taken.inc();
     let (handle, inputs) = OwnerHandle::new(lease.revision);
     if policy.is_none() {
         node.owned().insert(pool.clone(), handle.clone());
@@ -350,7 +350,7 @@
             view.workers_loaded.then(|| own.cloned().collect())
         };
         if let Some(workers) = workers {
-            handle.send(crate::owner::Input::Listed(workers));
+            handle.send(crate::owner::Input::WorkersListed(workers));
         }
         if changed.changed().await.is_err() {
             return;
--- a/reachhead_node/src/failure_detector.rs
+++ b/reachhead_node/src/failure_detector.rs
@@ -63,7 +63,8 @@
 
 /// Pings a peer and stores the status that it reports.
 async fn ping(node: &Node, peer: NodeName, address: SocketAddr, deadline: Duration) {
-    if let Ok(PeerReply::Pong(pong)) = node.peers.ask(address, &PeerRequest::Ping, deadline).await {
+    if let Ok(PeerReply::Pong(pong)) = node.peers.call(address, &PeerRequest::Ping, deadline).await
+    {
         let status = PeerStatus { at: node.now(), address, pong };
         node.view().peers.insert(peer, status);
     }
--- a/reachhead_node/src/fleet/lives.rs
+++ b/reachhead_node/src/fleet/lives.rs
@@ -13,7 +13,7 @@
     size::{Millis, Revision},
 };
 
-use crate::{frontend::ask_pool, node::Node, peer::PoolRequest};
+use crate::{frontend::call_pool_owner, node::Node, peer::PoolRequest};
 
 /// How long successors of a pool's owner are told that a life of a worker is over: longer than they would wait
 /// for its leases to lapse.
@@ -120,7 +120,7 @@
         }
         let asks = news.into_iter().map(|(pool, workers)| async {
             let current = lease(&pool)?;
-            ask_pool(&node, &pool, PoolRequest::Over(workers)).await?;
+            call_pool_owner(&node, &pool, PoolRequest::WorkersDied(workers)).await?;
             Some((pool, current))
         });
         let told: BTreeMap<PoolName, Revision> =
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -168,12 +168,12 @@
         for wave in names {
             self.drive(&wave).await;
         }
-        let remembers = self.moves.remembers(self.machines.len());
-        if remembers {
+        let stores_usage = self.moves.stores_usage(self.machines.len());
+        if stores_usage {
             self.recall().await;
         }
         self.move_hosts().await;
-        if remembers {
+        if stores_usage {
             self.remember().await;
         }
     }
@@ -197,7 +197,7 @@
         let moved = self.moves.round(&self.machines, held).await;
         for moved in moved {
             self.fenced |= moved.fenced;
-            if let Some(worker) = moved.step.worker.filter(|_| moved.possible) {
+            if let Some(worker) = moved.step.worker.filter(|_| moved.may_have_effect) {
                 let order = OpenOrder { pool: moved.step.from, worker, maintenance: false };
                 self.lives.ordered(&moved.step.host, order);
             }
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -16,7 +16,7 @@
 use super::name;
 use crate::{
     election::{LEASE_TRUST_TIME, MAX_WORKER_LEASE},
-    frontend::ask_pool,
+    frontend::call_pool_owner,
     node::Node,
     peer::{PeerReply, PoolRequest},
 };
@@ -82,9 +82,9 @@
 }
 
 async fn ask(node: &Node, pool: &PoolName, allotment: &Allotment) -> Option<UsageReport> {
-    let request = ask_pool(node, pool, PoolRequest::Allot(allotment.clone()));
+    let request = call_pool_owner(node, pool, PoolRequest::Allot(allotment.clone()));
     match time::timeout(ANSWER_TIME, request).await {
-        Ok(Some(PeerReply::Statement(report))) => Some(report),
+        Ok(Some(PeerReply::Usage(report))) => Some(report),
         _ => None,
     }
 }
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -16,7 +16,7 @@
 
 use super::{Fleet, lives::OpenOrder, name};
 use crate::{
-    frontend::ask_pool,
+    frontend::call_pool_owner,
     peer::{PeerReply, PoolRequest},
 };
 
@@ -215,9 +215,9 @@
         let Some(worker) = &machine.worker else {
             return DrainProgress::Empty;
         };
-        let request = PoolRequest::Vacate(worker.clone(), mode);
-        match ask_pool(&self.node, &machine.pool, request).await {
-            Some(PeerReply::Vacancy(progress)) => progress,
+        let request = PoolRequest::DrainWorker(worker.clone(), mode);
+        match call_pool_owner(&self.node, &machine.pool, request).await {
+            Some(PeerReply::DrainStatus(progress)) => progress,
             // Without the pool's owner nobody knows what is there.
             _ => DrainProgress::Protected,
         }
--- a/reachhead_node/src/follow.rs
+++ b/reachhead_node/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the platform's tables.
+//! Follows the platform's tables through change feeds and keeps the local view current.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -21,91 +21,93 @@
 use crate::{
     node::Node,
     registry,
-    relay::{self, Followed},
+    relay::{self, DatedPage},
     view::MemberView,
 };
 
-/// How long a poll of the operators' table waits. The configuration in force is known to be at most
-/// this old, which has to be well below the time in which a version must be in force.
-const OPERATOR_WAIT: Millis = Millis(1000);
+/// Wait of a poll of the operators' table. The configuration in force is confirmed to be at most
+/// this old, which has to be well below the time in which a version must take effect.
+const OPERATOR_POLL_WAIT: Millis = Millis(1000);
 
-/// How long a poll of the leases waits; each answer tells an owner that it still is in charge.
-const LEASE_WAIT: Millis = Millis(1500);
+/// Wait of a poll of the leases; each answer confirms an owner's lease.
+const LEASE_POLL_WAIT: Millis = Millis(1500);
 
-/// How long it waits in a process that owns nothing and watches nobody, which needs the leases only to know where owners are.
-const IDLE_LEASE_WAIT: Millis = Millis(6000);
+/// The same in a process that owns nothing and does not watch owners, which needs the leases only
+/// to find owners.
+const IDLE_LEASE_POLL_WAIT: Millis = Millis(6000);
 
-/// Pause after changes of the leases in a process that is no member and owns nothing: at a first start dozens change one after the
-/// other, and each would answer the polls of all processes. It is well below a turn of entering the list, in which all have to
-/// learn who has entered.
-const GUEST_LEASE_GAP: Millis = Millis(60);
+/// Pause after changes of the leases in a process that is no member and owns nothing: at a first
+/// start dozens of leases change one after the other, and each change would answer the polls of all
+/// processes. It is well below the interval at which processes join, within which all have to learn
+/// who has joined.
+const NON_MEMBER_LEASE_PAUSE: Millis = Millis(60);
 
-/// How long either poll waits in a process that others ask instead of the store. Until a poll is answered the knowledge of the one
-/// before counts, so what is passed on is up to two waits old.
-const RELAY_WAIT: Millis = Millis(600);
+/// Wait of either poll in a process that relays tables to others. Until a poll is answered the
+/// state of the previous one counts, so relayed state is up to two waits old.
+const RELAY_POLL_WAIT: Millis = Millis(600);
 
-/// How long a poll of the workers waits. A worker that drains must get nothing soon after, also when
-/// the connection has gone silent.
-const WORKER_WAIT: Millis = Millis(1000);
+/// Wait of a poll of the workers. A draining worker must soon get no more tasks, also when the
+/// connection has gone silent.
+const WORKER_POLL_WAIT: Millis = Millis(1000);
 
-/// Pause between two polls of the workers. On large deployments some worker changes all the time, and
-/// each change would cost each owner a call.
-const WORKER_GAP: Millis = Millis(80);
+/// Pause between two polls of the workers. On large deployments some worker changes all the time,
+/// and each change would cost each owner a call.
+const WORKER_POLL_PAUSE: Millis = Millis(80);
 
-/// First pause after a call that failed.
-const PAUSE_FIRST: Duration = Duration::from_millis(100);
+/// First pause after a failed call.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest pause after calls that failed.
-const PAUSE_MOST: Duration = Duration::from_millis(1000);
+/// Maximum pause after failed calls.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1000);
 
-/// The table of leases and processes.
+/// The table of leases and members.
 pub const LEASE_TABLE: &str = "lease";
 
-/// A table and what is done with its rows.
+/// A followed table and the handling of its rows.
 pub trait Follower: Send + Sync {
-    /// Returns the table.
+    /// Returns the table's name.
     fn table(&self) -> &'static str;
 
-    /// Returns how long a poll waits.
-    fn wait(&self) -> Millis;
+    /// Returns the wait of a poll.
+    fn poll_wait(&self) -> Millis;
 
-    /// Returns the pause before the next poll after one that told of changes.
-    fn gap(&self) -> Millis {
+    /// Returns the pause before the next poll after one that returned changes.
+    fn pause_after_changes(&self) -> Millis {
         Millis(0)
     }
 
-    /// Tells whether the table is needed now.
-    fn wanted(&self) -> bool {
+    /// Returns whether this process needs the table now.
+    fn is_needed(&self) -> bool {
         true
     }
 
-    /// Takes in all rows of the table.
+    /// Replaces the state by all rows of the table.
     fn reset(&self, rows: &[Change]);
 
-    /// Takes in changes.
+    /// Applies changes.
     fn apply(&self, changes: &[Change]);
 
-    /// Notes that the table was as it is here at `at`, and at this revision.
-    fn seen(&self, at: Tick, revision: Revision);
+    /// Records that the state matched the table at `at`, and at this revision.
+    fn confirm_current(&self, at: Tick, revision: Revision);
 
-    /// Notes that the table is not followed any more, so what is known of it is of no use.
-    fn ended(&self) {}
+    /// Marks the state as stale, because the table is no longer followed.
+    fn mark_stale(&self) {}
 }
 
-/// Follows a table for as long as the process lives.
+/// Follows a table for as long as the process runs.
 pub fn follow(node: Arc<Node>, follower: Arc<dyn Follower>) -> BoxFuture<'static, ()> {
     Box::pin(async move {
-        let mut pause = PAUSE_FIRST;
+        let mut pause = MIN_RETRY_PAUSE;
         loop {
-            if !follower.wanted() {
-                // Either end of the wait leads to another look.
-                let _ = time::timeout(PAUSE_FIRST, node.pool_acquired.notified()).await;
+            if !follower.is_needed() {
+                // The table is checked again after a notification as well as after the timeout.
+                let _ = time::timeout(MIN_RETRY_PAUSE, node.pool_acquired.notified()).await;
                 continue;
             }
-            let told = relay::table(&node, follower.table()).await;
-            node.record_store_result(&told);
-            match told {
-                Ok(Followed { page, at }) => {
+            let result = relay::read_table(&node, follower.table()).await;
+            node.record_store_result(&result);
+            match result {
+                Ok(DatedPage { page, at }) => {
                     emit(
                         Event::TableRead,
                         format_args!(
@@ -116,68 +118,69 @@
                         ),
                     );
                     follower.reset(&page.changes);
-                    follower.seen(at, page.revision);
-                    pause = PAUSE_FIRST;
+                    follower.confirm_current(at, page.revision);
+                    pause = MIN_RETRY_PAUSE;
                     poll(&node, &*follower, page).await;
-                    if !follower.wanted() {
-                        follower.ended();
+                    if !follower.is_needed() {
+                        follower.mark_stale();
                     }
                 }
                 Err(error) => {
-                    log::info!("table={} can't be read: {error}", follower.table());
+                    log::info!("table={} read failed, retrying: {error}", follower.table());
                     time::sleep(jittered(pause)).await;
-                    pause = (pause * 2).min(PAUSE_MOST);
+                    pause = (pause * 2).min(MAX_RETRY_PAUSE);
                 }
             }
         }
     })
 }
 
-/// Polls for changes until the table has to be read anew or is not needed any more.
+/// Polls for changes until the table has to be read in full or is no longer needed.
 async fn poll(node: &Node, follower: &dyn Follower, start: FeedPage) {
     let mut revision = start.revision;
-    let mut pause = PAUSE_FIRST;
-    let mut wait = follower.wait();
-    while follower.wanted() {
-        let told = relay::changes(node, follower.table(), revision, wait).await;
-        // After a failure the store is asked for a word at once: a poll that hangs tells of its return only when its wait is over.
-        wait = if told.is_ok() { follower.wait() } else { Millis(0) };
-        match told {
-            Ok(Followed { page, at }) => {
+    let mut pause = MIN_RETRY_PAUSE;
+    let mut poll_wait = follower.poll_wait();
+    while follower.is_needed() {
+        let result = relay::poll_changes(node, follower.table(), revision, poll_wait).await;
+        // After a failure the next poll does not wait: one that waits would report the store's
+        // return only when its wait is over.
+        poll_wait = if result.is_ok() { follower.poll_wait() } else { Millis(0) };
+        match result {
+            Ok(DatedPage { page, at }) => {
                 node.record_store_result(&Ok(()));
                 revision = revision.max(page.revision);
                 let changed = !page.changes.is_empty();
                 if changed {
                     follower.apply(&page.changes);
                 }
-                follower.seen(at, revision);
-                pause = PAUSE_FIRST;
+                follower.confirm_current(at, revision);
+                pause = MIN_RETRY_PAUSE;
                 if changed {
-                    time::sleep(follower.gap().duration()).await;
+                    time::sleep(follower.pause_after_changes().duration()).await;
                 }
             }
             Err(FeedError::Forgotten) => return,
             Err(FeedError::Store(error)) => {
                 node.record_store_result::<()>(&Err(error.clone()));
-                log::info!("table={} can't be followed: {error}", follower.table());
+                log::info!("table={} poll failed, retrying: {error}", follower.table());
                 if follower.table() == LEASE_TABLE
-                    && let Some(page) = relay::leases_of_member(node).await
+                    && let Some(page) = relay::leases_from_member(node).await
                 {
                     follower.apply(&page.changes);
                 }
                 time::sleep(jittered(pause)).await;
-                pause = (pause * 2).min(PAUSE_MOST);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
 }
 
-/// Spreads retries of many processes.
+/// Spreads the retries of many processes over time.
 fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// The operators' table.
+/// Follows the operators' table.
 pub struct Operators(pub Arc<Node>);
 
 impl Operators {
@@ -211,7 +214,7 @@
 }
 
 impl Operators {
-    /// Notes whether a zone is drained.
+    /// Records whether a zone is drained.
     fn drain(&self, zone: ZoneName, drained: bool) {
         let mut view = self.0.view();
         let changed = match drained {
@@ -229,17 +232,18 @@
         self.0.services.row_format.operator_table()
     }
 
-    fn wait(&self) -> Millis {
-        if relay::allows_relayed_age(&self.0) { RELAY_WAIT } else { OPERATOR_WAIT }
+    fn poll_wait(&self) -> Millis {
+        if relay::allows_relayed_age(&self.0) { RELAY_POLL_WAIT } else { OPERATOR_POLL_WAIT }
     }
 
     fn reset(&self, rows: &[Change]) {
-        // Of a drain that has ended there is no row.
+        // A drain that has ended has no row.
         let row_format = &self.0.services.row_format;
-        let there: BTreeSet<ZoneName> =
+        let drained_zones: BTreeSet<ZoneName> =
             rows.iter().filter_map(|change| row_format.drained_zone(&change.row.key)).collect();
-        let ended: Vec<ZoneName> = self.0.view().drained.difference(&there).cloned().collect();
-        for zone in ended {
+        let reopened: Vec<ZoneName> =
+            self.0.view().drained.difference(&drained_zones).cloned().collect();
+        for zone in reopened {
             self.drain(zone, false);
         }
         self.apply(rows);
@@ -251,19 +255,19 @@
         }
     }
 
-    fn seen(&self, at: Tick, revision: Revision) {
+    fn confirm_current(&self, at: Tick, revision: Revision) {
         let mut view = self.0.view();
         view.config_current_at = view.config_current_at.max(at);
         view.config_revision = view.config_revision.max(revision);
     }
 }
 
-/// The table of leases and processes.
+/// Follows the table of leases and members.
 pub struct Leases(pub Arc<Node>);
 
 impl Leases {
     fn take(&self, change: &Change, now: Tick) {
-        match parse(&change.row.key) {
+        match parse_lease_key(&change.row.key) {
             Some(LeaseKey::Member(node)) => self.member(node, change),
             Some(LeaseKey::Pool(pool)) if !change.deleted => {
                 match change.row.parse::<LeaseRecord>() {
@@ -275,8 +279,8 @@
         }
     }
 
-    /// Takes over a lease. Who is in charge by it is logged, so that the logs of all processes tell how long a change of hands took to
-    /// reach them.
+    /// Stores a lease and logs a change of its owner, so that the logs of all processes show how
+    /// long an ownership change took to reach them.
     fn adopt(&self, pool: PoolName, record: LeaseRecord, revision: Revision, now: Tick) {
         let owner = record.owner.clone();
         if self.0.view().update_lease(pool.clone(), record, revision, now) {
@@ -311,20 +315,20 @@
         LEASE_TABLE
     }
 
-    fn wait(&self) -> Millis {
+    fn poll_wait(&self) -> Millis {
         if self.0.is_idle() {
-            IDLE_LEASE_WAIT
+            IDLE_LEASE_POLL_WAIT
         } else if relay::allows_relayed_age(&self.0) {
-            RELAY_WAIT
+            RELAY_POLL_WAIT
         } else {
-            LEASE_WAIT
+            LEASE_POLL_WAIT
         }
     }
 
-    fn gap(&self) -> Millis {
+    fn pause_after_changes(&self) -> Millis {
         let node = &self.0;
         let member = node.view().members.contains_key(&node.settings.node);
-        if node.owns_any() || member { Millis(0) } else { GUEST_LEASE_GAP }
+        if node.owns_any() || member { Millis(0) } else { NON_MEMBER_LEASE_PAUSE }
     }
 
     fn reset(&self, rows: &[Change]) {
@@ -332,8 +336,9 @@
         {
             let mut view = self.0.view();
             view.members.clear();
-            let listed =
-                |change: &Change| matches!(parse(&change.row.key), Some(LeaseKey::Member(_)));
+            let listed = |change: &Change| {
+                matches!(parse_lease_key(&change.row.key), Some(LeaseKey::Member(_)))
+            };
             if view.leases_first_read_at.is_none() {
                 view.started_without_members = !rows.iter().any(listed);
             }
@@ -346,7 +351,7 @@
         self.apply_at(changes, self.0.now());
     }
 
-    fn seen(&self, at: Tick, revision: Revision) {
+    fn confirm_current(&self, at: Tick, revision: Revision) {
         let mut view = self.0.view();
         view.leases_revision = view.leases_revision.max(revision);
         view.leases_current_at = view.leases_current_at.max(at);
@@ -358,7 +363,7 @@
     Pool(PoolName),
 }
 
-fn parse(key: &Key) -> Option<LeaseKey> {
+fn parse_lease_key(key: &Key) -> Option<LeaseKey> {
     let mut parts = key.0.splitn(3, '/').skip(1);
     let (part, rest) = (parts.next()?, parts.next()?);
     if part == MEMBER_PART {
@@ -367,35 +372,36 @@
     part.parse().ok().map(LeaseKey::Pool)
 }
 
-/// The table in which workers register; only who is in charge of something needs it.
+/// Follows the table of registered workers, which only owners need.
 pub struct Workers(pub Arc<Node>);
 
 impl Workers {
-    /// Takes in an entry; tells whether it says anything new. Most are heartbeats.
+    /// Applies a worker's row; returns whether it changed anything. Most rows are heartbeats.
     fn take(&self, row: &Row, deleted: bool) -> bool {
         let node = &self.0;
         if deleted {
-            return self.drop(row);
+            return self.remove_worker(row);
         }
         match node.services.row_format.worker_row(row) {
             Ok(info) => {
-                let known = node.view().workers.insert(info.id.clone(), info.clone());
-                let news = known.as_ref() != Some(&info);
-                if news {
+                let previous = node.view().workers.insert(info.id.clone(), info.clone());
+                let changed = previous.as_ref() != Some(&info);
+                if changed {
                     let id = info.id.clone();
                     node.registry.record(WorkerChange { id, info: Some(info) });
                 }
-                news
+                changed
             }
             Err(error) => {
-                // What the entry said before counts no more: it names no worker to use.
+                // An unreadable row also invalidates the previous one, since it names no usable
+                // worker.
                 emit(Event::RowRefused, error);
-                self.drop(row)
+                self.remove_worker(row)
             }
         }
     }
 
-    fn drop(&self, row: &Row) -> bool {
+    fn remove_worker(&self, row: &Row) -> bool {
         let Some(id) = self.0.services.row_format.worker_of(&row.key) else {
             return false;
         };
@@ -412,16 +418,16 @@
         self.0.services.row_format.worker_table()
     }
 
-    fn wait(&self) -> Millis {
-        WORKER_WAIT
+    fn poll_wait(&self) -> Millis {
+        WORKER_POLL_WAIT
     }
 
-    fn gap(&self) -> Millis {
-        WORKER_GAP
+    fn pause_after_changes(&self) -> Millis {
+        WORKER_POLL_PAUSE
     }
 
-    fn wanted(&self) -> bool {
-        self.0.owns_any() && registry::is_direct(&self.0)
+    fn is_needed(&self) -> bool {
+        self.0.owns_any() && registry::follows_store(&self.0)
     }
 
     fn reset(&self, rows: &[Change]) {
@@ -432,27 +438,27 @@
             view.follows_workers = true;
         }
         self.apply(rows);
-        // Of those that were there before some may be gone.
+        // Workers that were registered before may be gone.
         self.0.registry.reset();
         self.0.workers_changed.send_modify(|count| *count += 1);
     }
 
     fn apply(&self, changes: &[Change]) {
-        let mut news = false;
+        let mut changed = false;
         for change in changes {
-            news |= self.take(&change.row, change.deleted);
+            changed |= self.take(&change.row, change.deleted);
         }
-        if news {
+        if changed {
             self.0.workers_changed.send_modify(|count| *count += 1);
         }
     }
 
-    fn seen(&self, at: Tick, _revision: Revision) {
+    fn confirm_current(&self, at: Tick, _revision: Revision) {
         let mut view = self.0.view();
         view.workers_current_at = view.workers_current_at.max(at);
     }
 
-    fn ended(&self) {
+    fn mark_stale(&self) {
         let mut view = self.0.view();
         view.workers_loaded = false;
         view.follows_workers = false;
--- a/reachhead_node/src/frontend.rs
+++ b/reachhead_node/src/frontend.rs
@@ -23,7 +23,7 @@
 use crate::{
     node::Node,
     owner::CancelReply,
-    peer::{PeerReply, PeerRequest, PoolRequest, Submitted, ask_owner},
+    peer::{AcceptedJob, PeerReply, PeerRequest, PoolRequest, call_local_owner},
 };
 
 /// Longest wait for an owner's answer about one job; the store can answer too.
@@ -93,7 +93,7 @@
     ) -> Answer {
         loop {
             match self.ask(pool, PoolRequest::Cancel(id, by.clone())).await {
-                Some(PeerReply::Cancel(CancelReply::Over)) => return Answer::Cancelled,
+                Some(PeerReply::Cancel(CancelReply::Ended)) => return Answer::Cancelled,
                 Some(PeerReply::Cancel(CancelReply::Foreign)) => return Answer::Gone,
                 Some(PeerReply::Cancel(CancelReply::Unknown)) => {
                     if let Some(answer) = self.introduce(pool, id, by.as_ref()).await {
@@ -134,7 +134,7 @@
                 };
                 match row.parse::<JobRecord>() {
                     Ok(record) => {
-                        let job = Submitted { id, record, row: row.revision };
+                        let job = AcceptedJob { id, record, row: row.revision };
                         self.ask(pool, PoolRequest::Submit(vec![job])).await;
                     }
                     Err(error) => emit(Event::RowRefused, error),
@@ -180,7 +180,7 @@
     }
 
     async fn ask(&self, pool: &PoolName, request: PoolRequest) -> Option<PeerReply> {
-        ask_pool(&self.0, pool, request).await
+        call_pool_owner(&self.0, pool, request).await
     }
 
     async fn answer(&self, call: Call) -> Answer {
@@ -210,16 +210,20 @@
 }
 
 /// Asks the owner of a pool, here or at a peer; `None` if it can't be asked.
-pub async fn ask_pool(node: &Node, pool: &PoolName, request: PoolRequest) -> Option<PeerReply> {
+pub async fn call_pool_owner(
+    node: &Node,
+    pool: &PoolName,
+    request: PoolRequest,
+) -> Option<PeerReply> {
     if let Some(owner) = node.local(pool) {
-        return Some(ask_owner(&owner, request).await)
+        return Some(call_local_owner(&owner, request).await)
             .filter(|reply| !matches!(reply, PeerReply::NotOwner));
     }
     let (owner, address) = node.view().owner(pool)?;
     if owner == node.settings.node {
         return None;
     }
-    match node.peers.ask(address, &PeerRequest::Pool(pool.clone(), request), OWNER_TIME).await {
+    match node.peers.call(address, &PeerRequest::Pool(pool.clone(), request), OWNER_TIME).await {
         Ok(PeerReply::NotOwner) => None,
         Ok(reply) => Some(reply),
         Err(error) => {
--- a/reachhead_node/src/handover.rs
+++ b/reachhead_node/src/handover.rs
@@ -103,7 +103,7 @@
 
 /// Returns whether the process is alive, answers quickly and reaches the store.
 async fn is_healthy(node: &Node, successor: &Successor) -> bool {
-    let pong = node.peers.ask(successor.address, &PeerRequest::Ping, PING_TIMEOUT).await;
+    let pong = node.peers.call(successor.address, &PeerRequest::Ping, PING_TIMEOUT).await;
     matches!(pong, Ok(PeerReply::Pong(pong)) if pong.store_age <= MAX_STORE_AGE_MS)
 }
 
--- a/reachhead_node/src/membership.rs
+++ b/reachhead_node/src/membership.rs
@@ -1,4 +1,5 @@
-//! The list of members: entering and leaving it, and taking off who is gone, as `reachhead_jobs::membership` decides.
+//! Membership: this process's joining and leaving, and the removal of dead members, as
+//! `reachhead_jobs::membership` decides.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -21,45 +22,45 @@
     view::MemberView,
 };
 
-/// How often a process looks whether it should be on the list.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+/// Interval at which a process checks whether it should be a member.
+const OWN_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// How often an owner asks whether all members are there.
-const CHECK_PERIOD: Duration = Duration::from_millis(5000);
+/// Interval at which an owner pings all members.
+const MEMBER_CHECK_PERIOD: Duration = Duration::from_millis(5000);
 
-/// How long it waits for their answers.
-const CHECK_TIME: Duration = Duration::from_millis(800);
+/// Timeout of such a ping.
+const PING_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a process does about its own entry.
-enum Step {
-    Enter(MemberRecord),
+/// A change to this process's own membership.
+enum MembershipChange {
+    Join(MemberRecord),
     Leave,
 }
 
-/// Enters the list where that is of use, for as long as the process lives.
+/// Joins and leaves the membership list as needed, for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
-    // What is on the list is known once the leases have been read.
+    // The list is known once the leases have been read.
     while node.view().leases_first_read_at.is_none() {
-        time::sleep(LOOK_PERIOD / 10).await;
+        time::sleep(OWN_CHECK_PERIOD / 10).await;
     }
     let mut failures = 0;
     loop {
-        if next_step(&node).is_some() {
-            // Others enter meanwhile, and there may be enough then.
+        if needed_change(&node).is_some() {
+            // Others join in the meantime, and the list may be complete then.
             time::sleep(join_delay(node.strength(), rand::random())).await;
-            let done = match next_step(&node) {
-                Some(step) => take(&node, step).await,
+            let decided = match needed_change(&node) {
+                Some(change) => take(&node, change).await,
                 None => true,
             };
-            failures = if done { 0 } else { failures + 1 };
+            failures = if decided { 0 } else { failures + 1 };
             time::sleep(retry_pause(failures, rand::random())).await;
         }
-        time::sleep(LOOK_PERIOD).await;
+        time::sleep(OWN_CHECK_PERIOD).await;
     }
 }
 
-/// Returns what the list lacks of this process, or has too much.
-fn next_step(node: &Node) -> Option<Step> {
+/// Returns the change that this process's entry needs, if any.
+fn needed_change(node: &Node) -> Option<MembershipChange> {
     let record = MemberRecord { address: node.settings.peer, strength: node.strength() };
     let view = node.view();
     let pools = view.config.as_ref()?.pools.len();
@@ -71,23 +72,24 @@
     };
     match view.members.get(&node.settings.node) {
         Some(known) if should_leave(own, others(), target_members(pools)) => {
-            (known.revision != Revision(0)).then_some(Step::Leave)
+            (known.revision != Revision(0)).then_some(MembershipChange::Leave)
         }
         Some(known) if known.record == record => None,
-        // Its peers would look for it where it was before.
-        Some(_) => Some(Step::Enter(record)),
-        None => should_join(own, others(), target_members(pools)).then_some(Step::Enter(record)),
+        // The address has changed, and peers would use the old one.
+        Some(_) => Some(MembershipChange::Join(record)),
+        None => should_join(own, others(), target_members(pools))
+            .then_some(MembershipChange::Join(record)),
     }
 }
 
-/// Writes the entry of this process, or deletes it; tells whether that is decided.
-async fn take(node: &Node, step: Step) -> bool {
+/// Writes or deletes this process's entry; returns whether that was decided.
+async fn take(node: &Node, change: MembershipChange) -> bool {
     let key = member_key(&node.settings.node);
     let known = node.view().members.get(&node.settings.node).map(|member| member.revision);
     let txn = Txn::new().with_check(key.clone(), known);
-    let (txn, record) = match step {
-        Step::Enter(record) => (txn.with_write(key, value(&record)), Some(record)),
-        Step::Leave => (txn.with_delete(key), None),
+    let (txn, record) = match change {
+        MembershipChange::Join(record) => (txn.with_write(key, value(&record)), Some(record)),
+        MembershipChange::Leave => (txn.with_delete(key), None),
     };
     let result = node.services.store.commit(txn).await;
     node.record_store_result(&result);
@@ -106,60 +108,61 @@
             }
             true
         }
-        // The followed table tells what is there.
+        // The followed table will show the current entry.
         Ok(Commit::Conflict(_)) => false,
         Err(error) => {
-            log::info!("the list of members can't be written: {error}");
+            log::info!("the membership list can't be written: {error}");
             false
         }
     }
 }
 
-/// Takes members off the list that are gone, for as long as the process lives. Only owners of pools ask, so that what is asked
-/// follows the pools and not the hosts.
-pub async fn check(node: Arc<Node>) {
-    let mut misses: BTreeMap<NodeName, u32> = BTreeMap::new();
+/// Removes dead members from the list, for as long as the process runs. Only owners of pools ping
+/// the members, so the number of pings follows the pools and not the hosts.
+pub async fn remove_dead_members(node: Arc<Node>) {
+    let mut missed_pings: BTreeMap<NodeName, u32> = BTreeMap::new();
     loop {
-        time::sleep(CHECK_PERIOD.mul_f64(0.8 + 0.4 * rand::random::<f64>())).await;
+        time::sleep(MEMBER_CHECK_PERIOD.mul_f64(0.8 + 0.4 * rand::random::<f64>())).await;
         if node.owned().is_empty() || node.is_stopping() {
-            misses.clear();
+            missed_pings.clear();
             continue;
         }
-        for member in missing(&node, &mut misses).await {
+        for member in dead_members(&node, &mut missed_pings).await {
             remove(&node, &member).await;
-            misses.remove(&member);
+            missed_pings.remove(&member);
         }
     }
 }
 
-/// Asks all members and returns those that have left too many calls without an answer.
-async fn missing(node: &Node, misses: &mut BTreeMap<NodeName, u32>) -> Vec<NodeName> {
+/// Pings all members and returns those that missed too many pings in a row.
+async fn dead_members(node: &Node, missed_pings: &mut BTreeMap<NodeName, u32>) -> Vec<NodeName> {
     let members = node.view().members.clone();
-    let asks = members.iter().filter(|(name, _)| **name != node.settings.node).map(
+    let pings = members.iter().filter(|(name, _)| **name != node.settings.node).map(
         |(name, member)| async {
-            let pong = node.peers.ask(member.record.address, &PeerRequest::Ping, CHECK_TIME).await;
+            let pong =
+                node.peers.call(member.record.address, &PeerRequest::Ping, PING_TIMEOUT).await;
             // Another process may have got the address.
-            let lives = matches!(&pong, Ok(PeerReply::Pong(pong)) if pong.is_of(name));
-            (name.clone(), lives)
+            let is_alive = matches!(&pong, Ok(PeerReply::Pong(pong)) if pong.is_of(name));
+            (name.clone(), is_alive)
         },
     );
-    let told = join_all(asks).await;
-    let answered = told.iter().filter(|(_, lives)| *lives).count();
-    if !can_remove_members(answered, told.len()) {
-        log::info!("{answered} of {} members answer, so nobody is taken off", told.len());
-        misses.clear();
+    let answers = join_all(pings).await;
+    let answered = answers.iter().filter(|(_, is_alive)| *is_alive).count();
+    if !can_remove_members(answered, answers.len()) {
+        log::info!("only {answered} of {} members answered, so none is removed", answers.len());
+        missed_pings.clear();
         return Vec::new();
     }
-    misses.retain(|name, _| members.contains_key(name));
-    for (name, lives) in told {
-        if lives {
-            misses.remove(&name);
+    missed_pings.retain(|name, _| members.contains_key(name));
+    for (name, is_alive) in answers {
+        if is_alive {
+            missed_pings.remove(&name);
         } else {
-            *misses.entry(name).or_default() += 1;
+            *missed_pings.entry(name).or_default() += 1;
         }
     }
-    let gone = misses.iter().filter(|(_, count)| **count >= MAX_MISSED_PINGS);
-    gone.map(|(name, _)| name.clone()).collect()
+    let dead = missed_pings.iter().filter(|(_, count)| **count >= MAX_MISSED_PINGS);
+    dead.map(|(name, _)| name.clone()).collect()
 }
 
 async fn remove(node: &Node, member: &NodeName) {
--- a/reachhead_node/src/metrics.rs
+++ b/reachhead_node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a process counts.
+//! The metrics of the process.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
@@ -25,15 +25,15 @@
     call: &'static str,
 }
 
-/// The counters and histograms of a process.
+/// The counters and histograms of the process.
 pub struct Metrics {
     orders: Family<OrderLabels, Counter>,
     answers: Family<AnswerLabels, Counter>,
     latency: Latencies<CallLabels>,
-    /// How often this process took charge of a pool.
-    pub taken: Counter,
-    /// Transactions that the store refused for what they are, such as a row that is too long.
-    pub refused: Counter,
+    /// Number of times that this process took over a pool.
+    pub pools_taken: Counter,
+    /// Transactions that the store refused as invalid, such as a row that is too long.
+    pub store_refusals: Counter,
 }
 
 impl Metrics {
@@ -43,8 +43,8 @@
             orders: Family::default(),
             answers: Family::default(),
             latency: latencies(),
-            taken: Counter::default(),
-            refused: Counter::default(),
+            pools_taken: Counter::default(),
+            store_refusals: Counter::default(),
         };
         registry.register(
             "reachhead_worker_orders",
@@ -60,17 +60,17 @@
         registry.register(
             "reachhead_pools_taken",
             "How often this process took charge of a pool",
-            metrics.taken.clone(),
+            metrics.pools_taken.clone(),
         );
         registry.register(
             "reachhead_store_refusals",
             "Transactions that the store refused for what they are",
-            metrics.refused.clone(),
+            metrics.store_refusals.clone(),
         );
         metrics
     }
 
-    /// Counts an order to a worker.
+    /// Counts an order to a worker by its result.
     pub fn order<T>(&self, order: &'static str, result: &Result<T, WorkerError>) {
         let result = match result {
             Ok(_) => "done",
@@ -83,9 +83,9 @@
         self.orders.get_or_create(&OrderLabels { order, result }).inc();
     }
 
-    /// Counts an answer to a caller that took this many seconds.
+    /// Counts an answer to a caller, and records its latency in seconds.
     pub fn answer(&self, call: &'static str, answer: &Answer, seconds: f64) {
-        let told = match answer {
+        let label = match answer {
             Answer::Accepted => "accepted",
             Answer::State(_) => "state",
             Answer::Cancelled => "cancelled",
@@ -93,7 +93,7 @@
             Answer::Waiting(_) => "waiting",
             Answer::Refused(kind) => kind.as_str(),
         };
-        self.answers.get_or_create(&AnswerLabels { call, answer: told }).inc();
+        self.answers.get_or_create(&AnswerLabels { call, answer: label }).inc();
         self.latency.get_or_create(&CallLabels { call }).observe(seconds);
     }
 }
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -1,4 +1,4 @@
-//! Moving hosts between pools, as `reachhead_jobs::balance` decides.
+//! Moves hosts between pools, as `reachhead_jobs::balance` decides.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,141 +25,148 @@
 use tokio::time;
 
 use crate::{
-    frontend::ask_pool,
+    frontend::call_pool_owner,
     node::Node,
     order_permit::PermitIssuer,
     peer::{PeerReply, PoolRequest},
 };
 
-/// How long an order counts before the platform's list shows it.
-const ORDER_TIME: Millis = Millis(600);
+/// How long an order overrides the platform's list, which may not show it yet.
+const ORDER_VISIBILITY_DELAY: Millis = Millis(600);
 
-/// How long the owner of a pool may take to tell its load; the others are not kept waiting for one that is
-/// gone.
-const LOAD_TIME: Duration = Duration::from_millis(200);
+/// Timeout of a pool owner's answer about its load, so that an owner that is gone does not delay
+/// the others.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Part of the platform's rate of orders that moves use; the rest is for maintenance.
-const RATE_PART: f64 = 0.8;
+/// Share of the platform's rate of orders that moves use; the rest is for maintenance.
+const MOVE_RATE_SHARE: f64 = 0.8;
 
-/// Least time between two logs of what the pools have and need.
-const ROOMS_PERIOD: Millis = Millis(400);
+/// Minimum time between two logs of the pools' demands.
+const DEMAND_LOG_PERIOD: Millis = Millis(400);
 
-/// Orders that are under way at once. Each takes some milliseconds, and with a connection for each of hundreds the platform's
-/// queue of new connections would be full.
-const ORDERS_MOST: usize = 32;
+/// Maximum number of concurrent orders. Each takes some milliseconds, and with a connection for
+/// each of hundreds the platform's queue of new connections would be full.
+const MAX_CONCURRENT_ORDERS: usize = 32;
 
-/// Moves that are begun in one round at least.
-const ROUND_LEAST: usize = 4;
+/// Minimum number of moves that may start in one round.
+const MIN_MOVES_PER_ROUND: usize = 4;
 
 /// A host that was ordered to another pool.
-struct Ordered {
+struct PendingMove {
     to: PoolName,
     at: Tick,
 }
 
-/// What came of an order.
+/// The result of an order.
 pub struct Moved {
-    /// The order.
+    /// The ordered move.
     pub step: Move,
-    /// It may have had effect.
-    pub possible: bool,
-    /// Another process has given orders about the host.
+    /// The order may have had effect.
+    pub may_have_effect: bool,
+    /// The platform has seen a newer holder of the fleet lease, so this process must stop.
     pub fenced: bool,
 }
 
-/// The moves of hosts that are under way.
+/// The moves of hosts in progress.
 pub struct Moves {
     node: Arc<Node>,
     permit_issuer: Arc<PermitIssuer>,
     balance: Balance,
-    ordered: BTreeMap<HostId, Ordered>,
-    /// When the last round looked at the pools.
+    pending: BTreeMap<HostId, PendingMove>,
+    /// When the order credit was last updated.
     last: Tick,
-    /// Workers that nobody answers for, with their pools, as of the last round.
+    /// Workers that don't answer their pool's owner, with their pools, as of the last round.
     unreachable: Vec<UnreachableWorker>,
-    /// The rooms that were logged last, and when.
-    told: Vec<HostDemand>,
-    told_at: Tick,
-    /// Orders that may be given at once.
-    saved: f64,
+    /// The demands that were last logged, and when.
+    logged_demands: Vec<HostDemand>,
+    demands_logged_at: Tick,
+    /// Number of orders that may be given at once.
+    order_credit: f64,
 }
 
 impl Moves {
-    /// Returns no moves, which will be ordered on this authority.
+    /// Returns the state without moves; orders get their permits from `permit_issuer`.
     pub fn new(node: Arc<Node>, permit_issuer: Arc<PermitIssuer>) -> Self {
         let last = node.now();
         Self {
             node,
             permit_issuer,
             balance: Balance::new(),
-            ordered: BTreeMap::new(),
+            pending: BTreeMap::new(),
             last,
             unreachable: Vec::new(),
-            told: Vec::new(),
-            told_at: last,
-            saved: 0.0,
+            logged_demands: Vec::new(),
+            demands_logged_at: last,
+            order_credit: 0.0,
         }
     }
 
-    /// Tells whether moves of so many hosts are scarce, so that what their pools use is remembered.
-    pub fn remembers(&self, hosts: usize) -> bool {
+    /// Returns whether moves of so many hosts are limited by the platform's rate, so that the
+    /// pools' use of hosts is worth storing for a successor.
+    pub fn stores_usage(&self, hosts: usize) -> bool {
         restart_cost(hosts, self.rate()) > Millis(0)
     }
 
-    /// Returns what decides on moves.
+    /// Returns the balance that decides on moves.
     pub fn balance(&mut self) -> &mut Balance {
         &mut self.balance
     }
 
-    /// Returns how many orders a second the platform takes.
+    /// Returns how many orders per second the platform takes.
     fn rate(&self) -> f64 {
         self.node.settings.machines.map_or(0.0, |hosts| hosts.rate)
     }
 
-    /// Looks at all pools and moves what should be elsewhere. `held` are hosts that something else is
-    /// done with.
+    /// Reads the load of all pools and moves hosts accordingly. Hosts for which `is_held` is true
+    /// are in use by something else and stay.
     pub async fn round(
         &mut self,
-        machines: &BTreeMap<HostId, PlatformHost>,
-        held: impl Fn(&HostId) -> bool,
+        platform_hosts: &BTreeMap<HostId, PlatformHost>,
+        is_held: impl Fn(&HostId) -> bool,
     ) -> Vec<Moved> {
         let pools = self.pools().await;
         self.unreachable = unreachable(&pools);
         let now = self.node.now();
-        let machines = self.corrected(machines, now);
-        let drained = self.node.view().drained.clone();
+        let platform_hosts = self.with_pending_moves(platform_hosts, now);
+        let drained_zones = self.node.view().drained.clone();
         let rate = self.rate();
-        let mut steps = self.balance.next(&machines, &pools, &drained, rate, held, now);
-        self.tell_rooms(now);
-        steps.truncate(self.allowance(now));
-        self.saved = (self.saved - steps.len() as f64).max(0.0);
-        let empty = self.vacate(&steps).await;
-        let may_go = |step: &Move| step.worker.as_ref().is_none_or(|worker| empty.contains(worker));
-        let steps = steps.into_iter().filter(may_go);
-        let orders = stream::iter(steps).map(|step| self.carry_out(step));
-        let moved: Vec<Moved> =
-            orders.buffer_unordered(ORDERS_MOST).filter_map(async |moved| moved).collect().await;
+        let mut steps =
+            self.balance.next(&platform_hosts, &pools, &drained_zones, rate, is_held, now);
+        self.log_demands(now);
+        steps.truncate(self.start_budget(now));
+        self.order_credit = (self.order_credit - steps.len() as f64).max(0.0);
+        let drained = self.drain_workers(&steps).await;
+        let is_drained =
+            |step: &Move| step.worker.as_ref().is_none_or(|worker| drained.contains(worker));
+        let steps = steps.into_iter().filter(is_drained);
+        let orders = stream::iter(steps).map(|step| self.order_move(step));
+        let moved: Vec<Moved> = orders
+            .buffer_unordered(MAX_CONCURRENT_ORDERS)
+            .filter_map(async |moved| moved)
+            .collect()
+            .await;
         let now = self.node.now();
-        for moved in moved.iter().filter(|moved| moved.possible) {
-            let ordered = Ordered { to: moved.step.to.clone(), at: now };
-            self.ordered.insert(moved.step.host.clone(), ordered);
+        for moved in moved.iter().filter(|moved| moved.may_have_effect) {
+            let pending = PendingMove { to: moved.step.to.clone(), at: now };
+            self.pending.insert(moved.step.host.clone(), pending);
         }
         moved
     }
 
-    /// Asks the owners to empty the workers of hosts that are to leave, one question a pool; returns those that are empty.
-    async fn vacate(&self, steps: &[Move]) -> BTreeSet<WorkerId> {
+    /// Drains the workers of hosts that are to leave, with one request for each pool; returns the
+    /// workers that are empty.
+    async fn drain_workers(&self, steps: &[Move]) -> BTreeSet<WorkerId> {
         let mut workers: BTreeMap<&PoolName, Vec<WorkerId>> = BTreeMap::new();
         for step in steps {
             workers.entry(&step.from).or_default().extend(step.worker.clone());
         }
-        let asks = workers.into_iter().filter(|(_, workers)| !workers.is_empty()).map(
+        let requests = workers.into_iter().filter(|(_, workers)| !workers.is_empty()).map(
             |(pool, workers)| async move {
-                let request = PoolRequest::VacateAll(workers.clone(), DrainMode::Graceful);
-                match ask_pool(&self.node, pool, request).await {
-                    Some(PeerReply::Vacancies(told)) => workers
+                let request = PoolRequest::DrainWorkers(workers.clone(), DrainMode::Graceful);
+                match call_pool_owner(&self.node, pool, request).await {
+                    Some(PeerReply::DrainStatuses(progress)) => workers
                         .into_iter()
-                        .zip(told)
+                        .zip(progress)
                         .filter(|(_, progress)| *progress == DrainProgress::Empty)
                         .map(|(worker, _)| worker)
                         .collect(),
@@ -167,22 +174,24 @@
                 }
             },
         );
-        join_all(asks).await.into_iter().flatten().collect()
+        join_all(requests).await.into_iter().flatten().collect()
     }
 
-    /// Returns the workers that nobody answers for, as their pools' owners said in the last round.
+    /// Returns the workers that don't answer, as reported by their pools' owners in the last round.
     pub fn unreachable(&self) -> &[UnreachableWorker] {
         &self.unreachable
     }
 
-    /// Logs what each pool has and needs, now and then, if that has changed.
-    fn tell_rooms(&mut self, now: Tick) {
-        if now.since(self.told_at) < ROOMS_PERIOD || self.balance.demands() == self.told {
+    /// Logs the demand of each pool if it has changed, at most once in each log period.
+    fn log_demands(&mut self, now: Tick) {
+        if now.since(self.demands_logged_at) < DEMAND_LOG_PERIOD
+            || self.balance.demands() == self.logged_demands
+        {
             return;
         }
-        self.told_at = now;
-        self.told = self.balance.demands().to_vec();
-        for HostDemand { pool, have, claim, want, free, busy } in &self.told {
+        self.demands_logged_at = now;
+        self.logged_demands = self.balance.demands().to_vec();
+        for HostDemand { pool, have, claim, want, free, busy } in &self.logged_demands {
             emit(
                 Event::RoomPlanned,
                 format_args!(
@@ -192,50 +201,50 @@
         }
     }
 
-    /// Returns how many moves may be begun now by the platform's rate, which counts orders of a second: what was not
-    /// used of the last one is there for a burst.
-    fn allowance(&mut self, now: Tick) -> usize {
+    /// Returns how many moves may start now under the platform's rate, which counts the orders of
+    /// one second: unused orders of the last second are kept for a burst.
+    fn start_budget(&mut self, now: Tick) -> usize {
         let since = now.since(std::mem::replace(&mut self.last, now));
-        let rate = self.rate() * RATE_PART;
-        self.saved = (self.saved + rate * since.duration().as_secs_f64()).min(rate);
-        (self.saved as usize).max(ROUND_LEAST)
+        let rate = self.rate() * MOVE_RATE_SHARE;
+        self.order_credit = (self.order_credit + rate * since.duration().as_secs_f64()).min(rate);
+        (self.order_credit as usize).max(MIN_MOVES_PER_ROUND)
     }
 
-    /// Returns the platform's list with the orders that it may not show yet.
-    fn corrected(
+    /// Returns the platform's list with this process's own orders that it may not show yet.
+    fn with_pending_moves(
         &mut self,
-        machines: &BTreeMap<HostId, PlatformHost>,
+        platform_hosts: &BTreeMap<HostId, PlatformHost>,
         now: Tick,
     ) -> BTreeMap<HostId, PlatformHost> {
-        self.ordered.retain(|_, ordered| now.since(ordered.at) < ORDER_TIME);
-        let mut machines = machines.clone();
-        for (host, ordered) in &self.ordered {
-            if let Some(machine) = machines.get_mut(host) {
-                machine.pool = ordered.to.clone();
-                machine.state = PlatformHostState::Moving;
+        self.pending.retain(|_, pending| now.since(pending.at) < ORDER_VISIBILITY_DELAY);
+        let mut platform_hosts = platform_hosts.clone();
+        for (host, pending) in &self.pending {
+            if let Some(platform_host) = platform_hosts.get_mut(host) {
+                platform_host.pool = pending.to.clone();
+                platform_host.state = PlatformHostState::Moving;
             }
         }
-        machines
+        platform_hosts
     }
 
-    /// Asks the owners of all pools; a pool without an owner is left alone.
+    /// Requests the load of all pools from their owners; a pool without an owner is skipped.
     async fn pools(&self) -> BTreeMap<PoolName, PoolState> {
         let Some(config) = self.node.view().config.clone() else {
             return BTreeMap::new();
         };
-        let asks = config.pools.values().map(|policy| async {
-            let request = ask_pool(&self.node, &policy.name, PoolRequest::Load);
-            match time::timeout(LOAD_TIME, request).await {
+        let requests = config.pools.values().map(|policy| async {
+            let request = call_pool_owner(&self.node, &policy.name, PoolRequest::Load);
+            match time::timeout(LOAD_TIMEOUT, request).await {
                 Ok(Some(PeerReply::Load(load))) => {
                     Some((policy.name.clone(), PoolState { load, spare: policy.spare }))
                 }
                 _ => None,
             }
         });
-        join_all(asks).await.into_iter().flatten().collect()
+        join_all(requests).await.into_iter().flatten().collect()
     }
 
-    async fn carry_out(&self, step: Move) -> Option<Moved> {
+    async fn order_move(&self, step: Move) -> Option<Moved> {
         let api: &Arc<dyn HostApi> = self.node.services.hosts.as_ref()?;
         let permit = self.permit_issuer.permit().await?;
         let result = api.relocate(permit, step.host.clone(), step.to.clone()).await;
@@ -247,7 +256,7 @@
             ),
         );
         Some(Moved {
-            possible: matches!(result, Ok(()) | Err(HostOrderError::Lost(_))),
+            may_have_effect: matches!(result, Ok(()) | Err(HostOrderError::Lost(_))),
             fenced: result == Err(HostOrderError::Fenced),
             step,
         })
--- a/reachhead_node/src/observe.rs
+++ b/reachhead_node/src/observe.rs
@@ -1,4 +1,4 @@
-//! Metrics, and the state of the process as its operators see it.
+//! Serves the metrics and the state of the process to its operators.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -13,7 +13,7 @@
 /// Media type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers operators.
+/// Handler of the operators' port.
 pub struct ObserveHandler {
     node: Arc<Node>,
     registry: Mutex<Registry>,
--- a/reachhead_node/src/owner/actions.rs
+++ b/reachhead_node/src/owner/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the owner of a pool decides, and logging it.
+//! Executes and logs the actions that the owner of a pool decides on.
 
 use reachhead_jobs::{
     clock::Tick,
@@ -9,7 +9,7 @@
 use super::Input;
 use crate::node::Node;
 
-/// Carries out an action and returns what the owner is to be told.
+/// Executes an action and returns the input for the owner that results from it.
 pub(super) async fn perform(node: &Node, action: Action, sent: Tick) -> Option<Input> {
     let workers = &node.services.workers;
     match action {
@@ -17,13 +17,13 @@
             let (id, task, run) = (target.id.clone(), order.task, order.run);
             let result = workers.start(target, order).await;
             node.metrics.order("start", &result);
-            Some(Input::Started(id, task, run, result))
+            Some(Input::StartAnswered(id, task, run, result))
         }
         Action::Stop(target, task, run) => {
             let id = target.id.clone();
             let result = workers.stop(target, task, run).await;
             node.metrics.order("stop", &result);
-            Some(Input::Stopped(id, task, run, result))
+            Some(Input::StopAnswered(id, task, run, result))
         }
         Action::Pace(target, task, run, percent) => {
             let result = workers.pace(target, task, run, percent).await;
@@ -34,16 +34,16 @@
             let id = target.id.clone();
             let result = workers.hold(target, order).await;
             node.metrics.order("hold", &result);
-            Some(Input::Held(id, sent, result))
+            Some(Input::PollAnswered(id, sent, result))
         }
         Action::Advise(step, ids) => {
             let approvals = match &node.services.advisor {
                 Some(advisor) => advisor.advise(step, ids).await.map_err(|error| {
-                    log::info!("step={step} no advice: {error}");
+                    log::info!("step={step} the advisor did not answer: {error}");
                 }),
                 None => Err(()),
             };
-            Some(Input::Advised(step, approvals.ok(), sent))
+            Some(Input::AdviceReceived(step, approvals.ok(), sent))
         }
         Action::Fenced => None,
     }
--- a/reachhead_node/src/owner/input.rs
+++ b/reachhead_node/src/owner/input.rs
@@ -1,4 +1,4 @@
-//! What an owner is told, and how to tell it.
+//! The inputs of an owner's event loop, and the handle to send them.
 
 use reachhead_jobs::{
     clock::{Tick, WorkerTime},
@@ -18,78 +18,79 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::peer::Submitted;
+use crate::peer::AcceptedJob;
 
-/// What became of a cancellation.
+/// The outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CancelReply {
-    /// It is recorded that the job is over.
-    Over,
+    /// The end of the job is recorded.
+    #[serde(rename = "over")]
+    Ended,
     /// The owner does not know the job.
     Unknown,
-    /// It is another customer's.
+    /// The job belongs to another customer.
     Foreign,
 }
 
-/// What an owner is told.
+/// An input of an owner.
 pub enum Input {
-    /// Jobs were accepted and are stored.
-    Submit(Vec<Submitted>),
-    /// Somebody asks for a job's state.
+    /// Jobs were accepted and stored.
+    Submit(Vec<AcceptedJob>),
+    /// Requests a job's state.
     State(JobId, Option<CustomerName>, oneshot::Sender<StateReply>),
-    /// Somebody cancels a job.
+    /// Cancels a job.
     Cancel(JobId, Option<CustomerName>, oneshot::Sender<CancelReply>),
-    /// Somebody asks how many jobs wait.
+    /// Requests the number of waiting jobs of a queue.
     Waiting(RouteName, oneshot::Sender<u32>),
-    /// A worker's host is due for planned work.
-    Vacate(WorkerId, DrainMode, oneshot::Sender<DrainProgress>),
-    /// Hosts of these workers are to be moved.
-    VacateAll(Vec<WorkerId>, DrainMode, oneshot::Sender<Vec<DrainProgress>>),
-    /// Somebody asks how much room the pool needs.
+    /// Drains a worker, whose host is due for maintenance.
+    DrainWorker(WorkerId, DrainMode, oneshot::Sender<DrainProgress>),
+    /// Drains workers, whose hosts are to be moved.
+    DrainWorkers(Vec<WorkerId>, DrainMode, oneshot::Sender<Vec<DrainProgress>>),
+    /// Requests the capacity that the pool needs.
     Load(oneshot::Sender<PoolLoad>),
-    /// What the pool may have running for customers.
+    /// Sets the limits of what the pool may run for customers.
     Allot(Allotment, oneshot::Sender<UsageReport>),
-    /// Lives of workers are over.
-    Over(Vec<WorkerId>),
+    /// Incarnations of workers have ended.
+    WorkersDied(Vec<WorkerId>),
     /// The registered workers changed.
-    Listed(Vec<WorkerInfo>),
-    /// A long poll ended.
-    Held(WorkerId, Tick, Result<WorkerReport, WorkerError>),
-    /// An order to start was answered.
-    Started(WorkerId, TaskId, RunNumber, Result<WorkerTime, WorkerError>),
-    /// An order to stop was answered.
-    Stopped(WorkerId, TaskId, RunNumber, Result<WorkerTime, WorkerError>),
+    WorkersListed(Vec<WorkerInfo>),
+    /// A long poll of a worker ended.
+    PollAnswered(WorkerId, Tick, Result<WorkerReport, WorkerError>),
+    /// A start order was answered.
+    StartAnswered(WorkerId, TaskId, RunNumber, Result<WorkerTime, WorkerError>),
+    /// A stop order was answered.
+    StopAnswered(WorkerId, TaskId, RunNumber, Result<WorkerTime, WorkerError>),
     /// A change of pace was not confirmed.
     PaceFailed(TaskId, RunNumber),
-    /// Advice was given, or the call failed.
-    Advised(StepId, Option<Vec<Approval>>, Tick),
-    /// The store decided on a transaction.
+    /// The advisor answered, or the call failed.
+    AdviceReceived(StepId, Option<Vec<Approval>>, Tick),
+    /// The store decided on a transaction, or the call failed.
     Committed(Box<Batch>, Result<Commit, StoreError>),
-    /// The stored jobs were read.
-    Scanned(Vec<Row>),
-    /// Give the pool back.
+    /// Stored jobs were read.
+    JobsScanned(Vec<Row>),
+    /// Releases the pool.
     Release(oneshot::Sender<()>),
-    /// Give the pool back for a better owner, unless that would cost its jobs time.
+    /// Releases the pool to a better owner, unless that would delay its jobs.
     Yield(oneshot::Sender<()>),
 }
 
-/// How to reach an owner in this process.
+/// Handle to an owner in this process.
 #[derive(Clone)]
 pub struct OwnerHandle {
-    /// The revision of its lease, which is its fencing token.
+    /// The revision of the owner's lease, which is its fencing token.
     pub token: Revision,
     sender: mpsc::UnboundedSender<Input>,
 }
 
 impl OwnerHandle {
-    /// Returns a handle and where its inputs arrive.
+    /// Returns a handle and the receiver of its inputs.
     pub fn new(token: Revision) -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self { token, sender }, receiver)
     }
 
-    /// Tells the owner something; one that has ended needs nothing any more.
+    /// Sends an input to the owner. An owner that has ended needs no more inputs.
     pub fn send(&self, input: Input) {
         let _ = self.sender.send(input);
     }
--- a/reachhead_node/src/owner/mod.rs
+++ b/reachhead_node/src/owner/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of a pool: its event loop.
+//! The owner of a pool: the event loop that feeds inputs to the scheduler and executes its actions.
 
 mod actions;
 mod input;
@@ -33,43 +33,45 @@
 
 use self::actions::{event_of, perform};
 pub use self::input::{CancelReply, Input, OwnerHandle};
-use crate::{fleet, node::Node, peer::Submitted};
+use crate::{fleet, node::Node, peer::AcceptedJob};
 
-/// Least time between two rounds.
-const ROUND_PAUSE: Duration = Duration::from_millis(4);
+/// Minimum pause between two rounds.
+const MIN_ROUND_PAUSE: Duration = Duration::from_millis(4);
 
-/// How long an owner does other things after a round, in multiples of the round: it looks at all jobs and workers, and on a
-/// small host in a burst rounds would leave no time for the orders and reports that they are about.
-const ROUND_SPACING: u32 = 3;
+/// Pause after a round in multiples of the round's duration: a round iterates over all jobs and
+/// workers, and on a small host in a burst rounds would leave no time for the orders and reports
+/// that they are about.
+const ROUND_PAUSE_FACTOR: u32 = 3;
 
-/// Longest pause between two rounds while inputs wait.
-const ROUND_PAUSE_MOST: Duration = Duration::from_millis(25);
+/// Maximum pause between two rounds while inputs wait.
+const MAX_ROUND_PAUSE: Duration = Duration::from_millis(25);
 
-/// How often an owner with jobs looks at its timers when nothing else happens.
+/// Interval at which an idle loop checks the timers of an owner with jobs.
 const BUSY_TICK: Duration = Duration::from_millis(50);
 
-/// How often an owner without jobs looks at its timers.
+/// Interval at which an owner without jobs checks its timers.
 const IDLE_TICK: Duration = Duration::from_millis(200);
 
-/// Least time between two transactions that no caller waits for; their number is priced, and
-/// workers keep what is not recorded yet.
-const RECORD_PERIOD: Millis = Millis(60);
+/// Minimum time between two transactions that no caller waits for. The platform charges for their
+/// number, and workers keep what is not recorded yet.
+const MIN_RECORD_PERIOD: Millis = Millis(60);
 
-/// How long after a transaction the next may begin that no caller waits for, in multiples of what the last one took. A slow
-/// store carries out one at a time in each part, and those for which callers wait would stand behind progress.
-const RECORD_SPACING: u64 = 4;
+/// Time from a transaction to the next one that no caller waits for, in multiples of the duration
+/// of the last one. A slow store commits one at a time in each shard, and transactions that callers
+/// wait for would queue behind progress.
+const RECORD_PAUSE_FACTOR: u64 = 4;
 
-/// Pause after a transaction that failed.
-const RECORD_PAUSE: Millis = Millis(150);
+/// Pause after a failed transaction.
+const RECORD_RETRY_PAUSE: Millis = Millis(150);
 
-/// How often the stored jobs of one part are read, for those of which the owner was not told: it may be cut
-/// off from its peers alone. All parts are read within two seconds.
+/// Interval at which the stored jobs of one shard are read, to find jobs that the owner was not
+/// notified of: it may be partitioned from its peers only. All shards are read within two seconds.
 const SCAN_PERIOD: Millis = Millis(450);
 
-/// How long an owner that gives its pool back waits for its last transaction.
-const RELEASE_TIME: Duration = Duration::from_millis(800);
+/// How long an owner that releases its pool waits for its last transactions.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
 
-struct Canceller {
+struct PendingCancel {
     job: JobId,
     reply: oneshot::Sender<CancelReply>,
 }
@@ -81,18 +83,18 @@
     term: u64,
     handle: OwnerHandle,
     inputs: mpsc::UnboundedReceiver<Input>,
-    cancellers: Vec<Canceller>,
-    /// The lanes in which a transaction is under way, and since when.
+    pending_cancels: Vec<PendingCancel>,
+    /// The lanes with a transaction in progress, and when it started.
     recording: BTreeMap<Lane, Tick>,
-    /// When a lane's next transaction may begin that no caller waits for.
-    record_next: BTreeMap<Lane, Tick>,
-    scan_next: Tick,
-    /// The parts in the order in which they are read.
-    scan_turn: VecDeque<Shard>,
+    /// When each lane may start its next transaction that no caller waits for.
+    next_record: BTreeMap<Lane, Tick>,
+    next_scan: Tick,
+    /// The shards in the order in which they are read next.
+    scan_order: VecDeque<Shard>,
     release: Option<oneshot::Sender<()>>,
-    lost: bool,
-    /// The version of the configuration that the pool knows.
-    configured: Option<Version>,
+    lease_lost: bool,
+    /// The version of the configuration that the pool uses.
+    config_version: Option<Version>,
 }
 
 impl Owner {
@@ -111,27 +113,28 @@
             term,
             handle,
             inputs,
-            cancellers: Vec::new(),
+            pending_cancels: Vec::new(),
             recording: BTreeMap::new(),
-            record_next: BTreeMap::new(),
-            scan_next: now + SCAN_PERIOD,
-            scan_turn: Shard::all().collect(),
+            next_record: BTreeMap::new(),
+            next_scan: now + SCAN_PERIOD,
+            scan_order: Shard::all().collect(),
             release: None,
-            lost: false,
-            configured: None,
+            lease_lost: false,
+            config_version: None,
         }
     }
 
-    /// Runs until the pool is lost or given back.
+    /// Runs until the pool is lost or released.
     pub async fn run(mut self) {
         let mut last = time::Instant::now();
-        let mut pause = ROUND_PAUSE;
-        while !self.lost && self.release.is_none() {
+        let mut pause = MIN_ROUND_PAUSE;
+        while !self.lease_lost && self.release.is_none() {
             let tick = if self.pool.jobs().is_empty() { IDLE_TICK } else { BUSY_TICK };
             if let Ok(Some(input)) = time::timeout(tick, self.inputs.recv()).await {
                 self.take(input);
             }
-            // A round looks at every job and worker, so what comes close together shares one.
+            // A round iterates over every job and worker, so inputs that arrive close together
+            // share one.
             let left = pause.saturating_sub(last.elapsed());
             if !left.is_zero() {
                 time::sleep(left).await;
@@ -142,10 +145,10 @@
             let begun = time::Instant::now();
             self.round();
             last = time::Instant::now();
-            pause = (ROUND_SPACING * (last - begun)).clamp(ROUND_PAUSE, ROUND_PAUSE_MOST);
+            pause = (ROUND_PAUSE_FACTOR * (last - begun)).clamp(MIN_ROUND_PAUSE, MAX_ROUND_PAUSE);
         }
         if let Some(done) = self.release.take() {
-            self.give_back().await;
+            self.release_lease().await;
             let _ = done.send(());
         }
     }
@@ -155,39 +158,39 @@
         let now = node.now();
         self.check_lease();
         self.configure(now);
-        if self.lost {
+        if self.lease_lost {
             return;
         }
         for action in self.pool.poll(now, node.clock.wall()) {
-            self.carry_out(action);
+            self.execute(action);
         }
         for note in self.pool.take_notes() {
             emit(event_of(note.kind), format_args!("pool={} {}", self.pool.name(), note.text));
         }
         self.record(now);
         self.scan(now);
-        self.answer_cancellers();
+        self.answer_cancels();
     }
 
-    /// Looks whether the leases that this process follows still name this owner.
+    /// Checks whether the followed leases still name this owner.
     fn check_lease(&mut self) {
         let view = self.node.view();
         if let Some(lease) = view.leases.get(self.pool.name()) {
             if lease.revision > self.handle.token {
-                self.lost = true;
+                self.lease_lost = true;
             } else if lease.revision == self.handle.token {
                 self.pool.verify(view.leases_current_at);
             }
         }
     }
 
-    /// Takes over what the configuration and the leases say of customers and their quotas.
+    /// Applies the configuration and the fleet lease to customers and their quotas.
     fn configure(&mut self, now: Tick) {
         let view = self.node.view();
         if let Some(config) = &view.config
-            && self.configured != Some(config.version)
+            && self.config_version != Some(config.version)
         {
-            self.configured = Some(config.version);
+            self.config_version = Some(config.version);
             self.pool.configure(&config.customers);
         }
         self.pool.drain_zones(&view.drained, view.config_current_at);
@@ -201,7 +204,7 @@
         match input {
             Input::Submit(jobs) => {
                 let wall = self.node.clock.wall();
-                for Submitted { id, record, row } in jobs {
+                for AcceptedJob { id, record, row } in jobs {
                     self.pool.submit(id, &record, row, now, wall);
                 }
             }
@@ -212,10 +215,10 @@
             Input::Waiting(queue, reply) => {
                 let _ = reply.send(self.pool.waiting(&queue));
             }
-            Input::Vacate(worker, mode, reply) => {
+            Input::DrainWorker(worker, mode, reply) => {
                 let _ = reply.send(self.pool.drain_worker(&worker, mode, now));
             }
-            Input::VacateAll(workers, mode, reply) => {
+            Input::DrainWorkers(workers, mode, reply) => {
                 let progress = |worker| self.pool.drain_worker(worker, mode, now);
                 let _ = reply.send(workers.iter().map(progress).collect());
             }
@@ -223,34 +226,35 @@
                 let _ = reply.send(self.pool.load(now));
             }
             Input::Allot(allotment, reply) => self.allot(&allotment, reply, now),
-            Input::Over(workers) => {
+            Input::WorkersDied(workers) => {
                 for worker in workers {
                     self.pool.worker_died(&worker, DeathEvidence::Unhosted, now);
                 }
             }
-            Input::Listed(workers) => self.pool.list(workers, now),
-            Input::Held(worker, sent, result) => self.pool.held(&worker, sent, result, now),
-            Input::Started(worker, task, run, result) => {
+            Input::WorkersListed(workers) => self.pool.list(workers, now),
+            Input::PollAnswered(worker, sent, result) => self.pool.held(&worker, sent, result, now),
+            Input::StartAnswered(worker, task, run, result) => {
                 self.pool.started(&worker, task, run, result, now);
             }
-            Input::Stopped(worker, task, run, result) => {
+            Input::StopAnswered(worker, task, run, result) => {
                 self.pool.stopped(&worker, task, run, result, now);
             }
             Input::PaceFailed(task, run) => self.pool.pace_failed(task, run),
-            Input::Advised(step, approvals, sent) => {
+            Input::AdviceReceived(step, approvals, sent) => {
                 self.pool.advised(step, approvals, sent, now);
             }
-            Input::Committed(batch, result) => self.recorded(&batch, result, now),
-            Input::Scanned(rows) => self.scanned(&rows, now),
+            Input::Committed(batch, result) => self.handle_commit(&batch, result, now),
+            Input::JobsScanned(rows) => self.handle_scan(&rows, now),
             Input::Release(done) => self.release = Some(done),
-            // A successor would wait anew for the workers that have not answered.
+            // A successor would have to wait again for the workers that have not answered.
             Input::Yield(done) => self.release = (self.pool.unsettled() == 0).then_some(done),
         }
     }
 
-    /// Takes in limits, once every lease is known that is older than the owner's own. Of an owner and a ledger that take
-    /// charge at the same time one sees the other's lease: otherwise a ledger that has been replaced could give a new owner
-    /// what its successor, which has asked the old owner, gives to others.
+    /// Applies limits, once every lease is known that is older than the owner's own. If an owner
+    /// and a ledger take over at the same time, one of them sees the other's lease: otherwise a
+    /// ledger that has been replaced could give the new owner capacity that its successor, which
+    /// has asked the old owner, gives to others.
     fn allot(&mut self, allotment: &Allotment, reply: oneshot::Sender<UsageReport>, now: Tick) {
         if self.node.view().leases_revision >= self.handle.token {
             self.configure(now);
@@ -269,31 +273,31 @@
                 let _ = reply.send(CancelReply::Foreign);
             }
             Cancelled::Over => {
-                let _ = reply.send(CancelReply::Over);
+                let _ = reply.send(CancelReply::Ended);
             }
             Cancelled::Unknown => {
                 let _ = reply.send(CancelReply::Unknown);
             }
-            Cancelled::Pending => self.cancellers.push(Canceller { job, reply }),
+            Cancelled::Pending => self.pending_cancels.push(PendingCancel { job, reply }),
         }
     }
 
-    /// Tells those who cancel once it is recorded that their jobs are over.
-    fn answer_cancellers(&mut self) {
-        for place in (0..self.cancellers.len()).rev() {
-            let job = self.cancellers[place].job;
+    /// Answers callers of cancellations whose job is recorded as ended.
+    fn answer_cancels(&mut self) {
+        for place in (0..self.pending_cancels.len()).rev() {
+            let job = self.pending_cancels[place].job;
             if matches!(self.pool.state(job), Some(JobState::Over(_))) {
-                let canceller = self.cancellers.swap_remove(place);
-                let _ = canceller.reply.send(CancelReply::Over);
+                let pending = self.pending_cancels.swap_remove(place);
+                let _ = pending.reply.send(CancelReply::Ended);
                 emit(Event::JobCancelled, format_args!("pool={} job={job}", self.pool.name()));
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         if action == Action::Fenced {
-            // Only a newer lease gives a higher token, so somebody else is in charge by now.
-            self.lost = true;
+            // Only a newer lease gives a higher token, so another process owns the pool by now.
+            self.lease_lost = true;
             return;
         }
         let node = Arc::clone(&self.node);
@@ -306,10 +310,10 @@
         });
     }
 
-    /// Writes what is to be written, one transaction at a time in each lane.
+    /// Starts transactions that are due, one at a time in each lane.
     fn record(&mut self, now: Tick) {
         for Due { lane, urgent } in self.pool.due() {
-            let next = self.record_next.get(&lane).copied().unwrap_or_default();
+            let next = self.next_record.get(&lane).copied().unwrap_or_default();
             if self.recording.contains_key(&lane) || !(urgent || next <= now) {
                 continue;
             }
@@ -329,58 +333,58 @@
             if let Err(error) = &result {
                 emit(Event::RecordFailed, format_args!("token={} {error}", handle.token));
                 // An urgent transaction must not be repeated in a tight loop.
-                time::sleep(RECORD_PAUSE.duration()).await;
+                time::sleep(RECORD_RETRY_PAUSE.duration()).await;
             }
             handle.send(Input::Committed(Box::new(batch), result));
         });
     }
 
-    fn recorded(&mut self, batch: &Batch, result: Result<Commit, StoreError>, now: Tick) {
+    fn handle_commit(&mut self, batch: &Batch, result: Result<Commit, StoreError>, now: Tick) {
         let begun = self.recording.remove(&batch.lane).unwrap_or(now);
-        let spacing = Millis(now.since(begun).0 * RECORD_SPACING).max(RECORD_PERIOD);
-        self.record_next.insert(batch.lane, now + spacing);
+        let min_interval = Millis(now.since(begun).0 * RECORD_PAUSE_FACTOR).max(MIN_RECORD_PERIOD);
+        self.next_record.insert(batch.lane, now + min_interval);
         let commit = match result {
             Ok(commit) => commit,
             Err(StoreError::Refused(_)) => {
-                self.node.metrics.refused.inc();
+                self.node.metrics.store_refusals.inc();
                 self.pool.rejected(batch, now);
                 return;
             }
             Err(_) => return,
         };
         if !self.pool.decided(batch, &commit, now) {
-            self.lost = true;
+            self.lease_lost = true;
         } else if matches!(commit, Commit::Done(_)) {
             // The host may have been suspended between the store's answer and now.
             self.pool.verify(begun);
         }
     }
 
-    /// Reads the stored jobs now and then.
+    /// Reads the stored jobs of the next shard when its scan is due.
     fn scan(&mut self, now: Tick) {
-        if self.scan_next > now {
+        if self.next_scan > now {
             return;
         }
-        self.scan_next = now + SCAN_PERIOD;
+        self.next_scan = now + SCAN_PERIOD;
         let node = Arc::clone(&self.node);
         let handle = self.handle.clone();
-        let Some(shard) = self.scan_turn.pop_front() else {
+        let Some(shard) = self.scan_order.pop_front() else {
             return;
         };
-        self.scan_turn.push_back(shard);
+        self.scan_order.push_back(shard);
         let prefix = job_prefix(self.pool.name(), shard);
         tokio::spawn(async move {
             let scan = Scan { prefix, after: None, limit: u32::MAX };
             let page = node.services.store.scan(scan).await;
             node.record_store_result(&page);
             match page {
-                Ok(page) => handle.send(Input::Scanned(page.rows)),
-                Err(error) => log::info!("the stored jobs can't be read: {error}"),
+                Ok(page) => handle.send(Input::JobsScanned(page.rows)),
+                Err(error) => log::info!("stored jobs can't be read: {error}"),
             }
         });
     }
 
-    fn scanned(&mut self, rows: &[reachhead_store::row::Row], now: Tick) {
+    fn handle_scan(&mut self, rows: &[reachhead_store::row::Row], now: Tick) {
         for row in rows {
             let Some(id) = id_of(&row.key) else {
                 continue;
@@ -397,15 +401,15 @@
         }
     }
 
-    /// Records what is left, as far as one transaction a lane does.
-    async fn record_all(&mut self) {
+    /// Records the remaining changes, as far as one transaction for each lane can.
+    async fn record_remaining(&mut self) {
         let wall = self.node.clock.wall();
         let due = self.pool.due();
         let batches: Vec<Batch> =
             due.iter().filter_map(|due| self.pool.batch(due.lane, wall)).collect();
         let commits = batches.iter().map(|batch| {
             let commit = self.node.services.store.commit(batch.txn.clone());
-            time::timeout(RELEASE_TIME, commit)
+            time::timeout(RELEASE_TIMEOUT, commit)
         });
         let results = join_all(commits).await;
         let name = self.pool.name().clone();
@@ -418,13 +422,13 @@
                 Err(_) => emit(Event::RecordFailed, format_args!("pool={name} no answer in time")),
             }
         }
-        self.answer_cancellers();
+        self.answer_cancels();
     }
 
-    /// Records what is left and gives the lease back, so that a peer takes charge at once.
-    async fn give_back(&mut self) {
+    /// Records the remaining changes and releases the lease, so that a peer takes over at once.
+    async fn release_lease(&mut self) {
         let name = self.pool.name().clone();
-        self.record_all().await;
+        self.record_remaining().await;
         let record = LeaseRecord {
             owner: None,
             address: None,
@@ -435,7 +439,7 @@
         let txn = Txn::new()
             .with_check(lease_key(&name), Some(self.handle.token))
             .with_write(lease_key(&name), value(&record));
-        match time::timeout(RELEASE_TIME, self.node.services.store.commit(txn)).await {
+        match time::timeout(RELEASE_TIMEOUT, self.node.services.store.commit(txn)).await {
             Ok(Ok(_)) => {}
             Ok(Err(error)) => emit(Event::RecordFailed, format_args!("pool={name} {error}")),
             Err(_) => emit(Event::RecordFailed, format_args!("pool={name} no answer in time")),
@@ -443,7 +447,7 @@
     }
 }
 
-/// Returns the job that a row is about.
+/// Returns the job that a row belongs to.
 pub fn id_of(key: &Key) -> Option<JobId> {
     key.0.rsplit('/').next()?.parse().ok()
 }
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -1,8 +1,8 @@
 //! Messages between the processes of the system.
 //!
-//! They are HTTP calls over the same client as those to the platform: each needs its own deadline and
-//! a connection that can be dropped, and some are on the path of a caller's request. docs/PLATFORM.md
-//! has the measurements that decided against a second messaging library here.
+//! They are HTTP calls over the same client as those to the platform: each needs its own deadline
+//! and a connection that can be dropped, and some are on the path of a caller's request.
+//! docs/PLATFORM.md has the measurements that decided against a second messaging library.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -36,68 +36,72 @@
     submit::{StoreOutcome, store_for_peer},
 };
 
-/// The path of all messages.
+/// Path of all messages.
 const PATH: &str = "/peer";
 
-/// A question to a process.
+/// A request to a process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerRequest {
-    /// Which pools are you in charge of?
+    /// Requests the process's status and the pools that it owns.
     Ping,
-    /// Store these jobs of a pool that you own.
-    Store(PoolName, Vec<Unstored>),
-    /// What have operators written since?
-    Operators(Revision),
-    /// What do you know of a table?
+    /// Stores jobs of a pool that the process owns, or that the sender can't store.
+    Store(PoolName, Vec<UnstoredJob>),
+    /// Requests the operators' changes after a revision.
+    #[serde(rename = "operators")]
+    OperatorChanges(Revision),
+    /// Requests a table.
     Table(TableRequest),
-    /// Which workers have registered?
+    /// Requests the registered workers.
     Workers(WorkersRequest),
-    /// Something for the owner of a pool.
+    /// Forwards a request to the owner of a pool.
     Pool(PoolName, PoolRequest),
 }
 
-/// A job that is to be stored.
+/// A job to store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Unstored {
-    /// Its id.
+pub struct UnstoredJob {
+    /// The job's id.
     pub id: JobId,
     /// The job.
     pub record: JobRecord,
 }
 
-/// A job that was accepted and is stored.
+/// A job that was accepted and stored.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Submitted {
-    /// Its id.
+pub struct AcceptedJob {
+    /// The job's id.
     pub id: JobId,
     /// The job.
     pub record: JobRecord,
-    /// The revision of its row.
+    /// The revision of the job's row.
     pub row: Revision,
 }
 
-/// A question to the owner of a pool.
+/// A request to the owner of a pool.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolRequest {
-    /// These jobs were accepted and are stored.
-    Submit(Vec<Submitted>),
-    /// What is the job's state, for this customer?
+    /// Notifies the owner of jobs that were accepted and stored.
+    Submit(Vec<AcceptedJob>),
+    /// Requests a job's state, for this customer.
     State(JobId, Option<CustomerName>),
-    /// Cancel the job, as this customer asks.
+    /// Cancels a job, for this customer.
     Cancel(JobId, Option<CustomerName>),
-    /// How many jobs of the queue wait?
+    /// Requests the number of waiting jobs of a queue.
     Waiting(RouteName),
-    /// Empty this worker, whose host is due for planned work.
-    Vacate(WorkerId, DrainMode),
-    /// Empty these workers, whose hosts are to be moved.
-    VacateAll(Vec<WorkerId>, DrainMode),
-    /// These lives of workers are over.
-    Over(Vec<WorkerId>),
-    /// How much room does the pool need?
+    /// Drains a worker, whose host is due for maintenance.
+    #[serde(rename = "vacate")]
+    DrainWorker(WorkerId, DrainMode),
+    /// Drains workers, whose hosts are to be moved.
+    #[serde(rename = "vacate-all")]
+    DrainWorkers(Vec<WorkerId>, DrainMode),
+    /// Notifies the owner of worker incarnations that have ended.
+    #[serde(rename = "over")]
+    WorkersDied(Vec<WorkerId>),
+    /// Requests the capacity that the pool needs.
     Load,
-    /// What the pool may have running for customers.
+    /// Sets the limits of what the pool may run for customers.
     Allot(Allotment),
 }
 
@@ -105,62 +109,67 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerReply {
-    /// What the process is in charge of, and how it reaches the store.
+    /// The status of the process.
     Pong(Pong),
-    /// The process is not in charge of the pool.
+    /// The process does not own the pool.
     NotOwner,
-    /// What became of each job that was to be stored, in their order.
+    /// The outcome of each job to store, in their order.
     Stored(Vec<StoreOutcome>),
-    /// Done.
+    /// The notification was received.
     Done,
-    /// What operators have written, if the store says so.
-    Operators(Option<FeedPage>),
-    /// What is known of a table.
+    /// The operators' changes, if the process could read them.
+    #[serde(rename = "operators")]
+    OperatorChanges(Option<FeedPage>),
+    /// The table.
     Table(TableReply),
-    /// The workers, if this process knows them.
+    /// The workers, if the process knows them.
     Workers(Option<WorkersPage>),
     /// The job's state.
     State(StateReply),
-    /// What became of a cancellation.
+    /// The outcome of a cancellation.
     Cancel(CancelReply),
-    /// Jobs that wait.
+    /// The number of waiting jobs.
     Waiting(u32),
-    /// How empty the worker is.
-    Vacancy(DrainProgress),
-    /// How empty each worker is, in the order in which they were asked for.
-    Vacancies(Vec<DrainProgress>),
-    /// How much room the pool needs.
+    /// The drain progress of the worker.
+    #[serde(rename = "vacancy")]
+    DrainStatus(DrainProgress),
+    /// The drain progress of each worker, in the requested order.
+    #[serde(rename = "vacancies")]
+    DrainStatuses(Vec<DrainProgress>),
+    /// The capacity that the pool needs.
     Load(PoolLoad),
-    /// What customers have in the pool, and could use.
-    Statement(UsageReport),
+    /// What customers use in the pool, and could use.
+    #[serde(rename = "statement")]
+    Usage(UsageReport),
 }
 
-/// What a process says of itself.
+/// The status that a process reports of itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pong {
-    /// The pools that it is in charge of, with its tokens.
+    /// The pools that it owns, with its fencing tokens.
     pub owned: BTreeMap<PoolName, Revision>,
-    /// How long ago the store answered it, in milliseconds.
+    /// The time since the store last answered it, in milliseconds.
     pub store_age: u64,
-    /// Its last call to the store failed.
+    /// The last call to the store failed.
     #[serde(default)]
     pub failing: bool,
-    /// It was asked to end, and takes nothing any more.
+    /// The process is shutting down and takes nothing more.
     #[serde(default)]
     pub stopping: bool,
-    /// Its name; a release that did not say is taken for whom was asked.
+    /// The name of the process. An older release does not send it, and counts as the one that was
+    /// addressed.
     #[serde(default)]
     pub node: Option<NodeName>,
 }
 
 impl Pong {
-    /// Tells whether it is the answer of this process.
+    /// Returns whether this is the answer of `node`.
     pub fn is_of(&self, node: &NodeName) -> bool {
         self.node.as_ref().is_none_or(|own| own == node)
     }
 }
 
-/// A client of peers.
+/// Client for messages to peers.
 #[derive(Clone)]
 pub struct PeerClient {
     client: Arc<HttpClient>,
@@ -172,12 +181,12 @@
         Self { client }
     }
 
-    /// Asks a peer.
+    /// Sends a request to a peer and returns its answer.
     ///
     /// # Errors
     ///
     /// As [`HttpClient::call`].
-    pub async fn ask(
+    pub async fn call(
         &self,
         address: SocketAddr,
         request: &PeerRequest,
@@ -197,34 +206,37 @@
     }
 }
 
-/// Answers peers.
+/// Handler of the messages of peers.
 pub struct PeerHandler(pub Arc<Node>);
 
 impl PeerHandler {
     async fn answer(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Ping => self.pong(),
-            PeerRequest::Operators(revision) => {
-                PeerReply::Operators(self.operators(revision).await)
+            PeerRequest::OperatorChanges(revision) => {
+                PeerReply::OperatorChanges(self.operator_page(revision).await)
             }
             PeerRequest::Store(_, jobs) => PeerReply::Stored(store_for_peer(&self.0, jobs).await),
             PeerRequest::Workers(request) => {
-                PeerReply::Workers(registry::answer(&self.0, request).await)
+                PeerReply::Workers(registry::serve(&self.0, request).await)
             }
-            PeerRequest::Table(request) => PeerReply::Table(relay::answer(&self.0, request).await),
+            PeerRequest::Table(request) => PeerReply::Table(relay::serve(&self.0, request).await),
             PeerRequest::Pool(pool, request) => match self.0.local(&pool) {
-                Some(owner) => ask_owner(&owner, request).await,
+                Some(owner) => call_local_owner(&owner, request).await,
                 None => PeerReply::NotOwner,
             },
         }
     }
 
-    /// Asks the store what operators have written, for a peer that it turns away.
-    async fn operators(&self, revision: Revision) -> Option<FeedPage> {
+    /// Reads the operators' changes from the store, for a peer that the store rejects.
+    async fn operator_page(&self, revision: Revision) -> Option<FeedPage> {
         let table = self.0.services.row_format.operator_table();
         let page = operator_changes(&self.0, table, revision).await;
         self.0.record_store_result(&page);
-        page.inspect_err(|error| log::info!("nothing can be told to a peer: {error}")).ok()
+        page.inspect_err(|error| {
+            log::info!("the operators' changes can't be read for a peer: {error}")
+        })
+        .ok()
     }
 
     fn pong(&self) -> PeerReply {
@@ -245,48 +257,49 @@
     }
 }
 
-/// Asks an owner in this process.
-pub async fn ask_owner(owner: &OwnerHandle, request: PoolRequest) -> PeerReply {
+/// Sends a request to an owner in this process and returns its answer.
+pub async fn call_local_owner(owner: &OwnerHandle, request: PoolRequest) -> PeerReply {
     match request {
         PoolRequest::Submit(jobs) => {
             owner.send(Input::Submit(jobs));
             PeerReply::Done
         }
-        PoolRequest::Over(workers) => {
-            owner.send(Input::Over(workers));
+        PoolRequest::WorkersDied(workers) => {
+            owner.send(Input::WorkersDied(workers));
             PeerReply::Done
         }
         PoolRequest::State(id, by) => {
-            answered(owner, |reply| Input::State(id, by, reply), PeerReply::State).await
+            reply_of(owner, |reply| Input::State(id, by, reply), PeerReply::State).await
         }
         PoolRequest::Cancel(id, by) => {
-            answered(owner, |reply| Input::Cancel(id, by, reply), PeerReply::Cancel).await
+            reply_of(owner, |reply| Input::Cancel(id, by, reply), PeerReply::Cancel).await
         }
         PoolRequest::Waiting(queue) => {
-            answered(owner, |reply| Input::Waiting(queue, reply), PeerReply::Waiting).await
+            reply_of(owner, |reply| Input::Waiting(queue, reply), PeerReply::Waiting).await
         }
         PoolRequest::Allot(allotment) => {
-            answered(owner, |reply| Input::Allot(allotment, reply), PeerReply::Statement).await
+            reply_of(owner, |reply| Input::Allot(allotment, reply), PeerReply::Usage).await
         }
-        PoolRequest::Load => answered(owner, Input::Load, PeerReply::Load).await,
-        PoolRequest::VacateAll(workers, mode) => {
-            let input = |reply| Input::VacateAll(workers, mode, reply);
-            answered(owner, input, PeerReply::Vacancies).await
+        PoolRequest::Load => reply_of(owner, Input::Load, PeerReply::Load).await,
+        PoolRequest::DrainWorkers(workers, mode) => {
+            let input = |reply| Input::DrainWorkers(workers, mode, reply);
+            reply_of(owner, input, PeerReply::DrainStatuses).await
         }
-        PoolRequest::Vacate(worker, mode) => {
-            answered(owner, |reply| Input::Vacate(worker, mode, reply), PeerReply::Vacancy).await
+        PoolRequest::DrainWorker(worker, mode) => {
+            reply_of(owner, |reply| Input::DrainWorker(worker, mode, reply), PeerReply::DrainStatus)
+                .await
         }
     }
 }
 
-async fn answered<T>(
+async fn reply_of<T>(
     owner: &OwnerHandle,
     input: impl FnOnce(oneshot::Sender<T>) -> Input,
     reply: impl FnOnce(T) -> PeerReply,
 ) -> PeerReply {
     let (sender, receiver) = oneshot::channel();
     owner.send(input(sender));
-    // An owner that ends drops its questions.
+    // An owner that ends drops its unanswered requests.
     receiver.await.map_or(PeerReply::NotOwner, reply)
 }
 
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -203,7 +203,7 @@
     tokio::spawn(follow::follow(Arc::clone(node), Arc::new(follow::Leases(Arc::clone(node)))));
     tokio::spawn(follow::follow(Arc::clone(node), Arc::new(follow::Workers(Arc::clone(node)))));
     tokio::spawn(membership::run(Arc::clone(node)));
-    tokio::spawn(membership::check(Arc::clone(node)));
+    tokio::spawn(membership::remove_dead_members(Arc::clone(node)));
     tokio::spawn(election::run(Arc::clone(node)));
     tokio::spawn(failure_detector::run(Arc::clone(node)));
     tokio::spawn(registry::run(Arc::clone(node)));
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -1,7 +1,8 @@
-//! Registered workers: the owner of all hosts follows them at the store, and owners of pools ask it for their own.
+//! Registered workers: the fleet owner follows them at the store, and owners of pools request
+//! theirs from it.
 //!
-//! An owner of a pool that gets no good answer for a while follows the table itself, as every owner does where there is no owner of
-//! all hosts, or where knowledge must not be as old as it gets by way of another process.
+//! An owner of a pool that gets no usable answer for a while follows the table itself. Every owner
+//! does so where there is no fleet owner, or where state must not be as old as relayed state gets.
 
 use std::{
     net::SocketAddr,
@@ -25,62 +26,63 @@
     relay,
 };
 
-/// How long the owner of all hosts may hold a question until something changes.
-const WAIT: Millis = Millis(500);
+/// Maximum time that the fleet owner holds a request until something changes.
+const MAX_HOLD: Millis = Millis(500);
 
-/// Longest wait for its answer beyond that.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Timeout of its answer beyond that.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause between questions that are answered at once, so that changes of some tenths of a second share one answer.
-const GAP: Duration = Duration::from_millis(80);
+/// Pause between requests that are answered at once, so that changes of some tenths of a second
+/// share one answer.
+const POLL_PAUSE: Duration = Duration::from_millis(80);
 
-/// Pause after a question that was not answered well.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a request without a usable answer.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long an owner of a pool goes without a good answer before it follows the table itself.
-const PATIENCE: Millis = Millis(1500);
+/// How long an owner of a pool goes without a usable answer before it follows the table itself.
+const MAX_ANSWER_AGE: Millis = Millis(1500);
 
-/// How long it does so at least; each change costs a read of the whole table.
-const DIRECT_TIME: Millis = Millis(8000);
+/// Minimum time that it does so, since each change to it costs a read of the whole table.
+const MIN_DIRECT_PERIOD: Millis = Millis(8000);
 
-/// How old the knowledge may be that is passed on.
-const AGE_MOST: Millis = Millis(1900);
+/// Maximum age of relayed state.
+const MAX_AGE: Millis = Millis(1900);
 
-/// A question for the workers of some pools.
+/// A request for the workers of some pools.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WorkersRequest {
     /// The pools.
     pub pools: Vec<PoolName>,
-    /// Up to where they are known; `None` asks for all of them.
+    /// The position up to which the workers are known; `None` requests all workers.
     pub after: Option<Position>,
 }
 
-/// Up to where somebody knows the workers that a process passes on.
+/// A position in the changes of workers that a process relays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// Which life of which process.
+    /// Identifies the run of the process that relays.
     epoch: u64,
     version: u64,
 }
 
-/// Workers that registered, changed or are gone.
+/// Workers that registered, changed or were removed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WorkersPage {
     position: Position,
-    /// These are all workers of the pools, and no changes.
+    /// The page lists all workers of the pools instead of changes.
     whole: bool,
     changes: Vec<WorkerChange>,
 }
 
-/// What is passed on, and how it comes in.
+/// The log of changes of registered workers, and the state of following it.
 pub struct Registry {
     epoch: u64,
     log: Mutex<WorkerChangeLog>,
     changed: watch::Sender<u64>,
-    /// When this process, as an owner of pools, last had a good answer, or began to need one.
-    last_answer: Mutex<Tick>,
-    /// Until when it follows the table itself.
-    direct: Mutex<Tick>,
+    /// When this process, as an owner of pools, last had a usable answer, or began to need one.
+    last_answer_at: Mutex<Tick>,
+    /// Until when this process follows the table at the store itself.
+    direct_until: Mutex<Tick>,
 }
 
 impl Registry {
@@ -90,35 +92,35 @@
             epoch: rand::random(),
             log: Mutex::default(),
             changed: watch::Sender::new(0),
-            last_answer: Mutex::default(),
-            direct: Mutex::default(),
+            last_answer_at: Mutex::default(),
+            direct_until: Mutex::default(),
         }
     }
 
-    /// Notes a change that the store told of.
+    /// Records a change that the store returned.
     pub fn record(&self, change: WorkerChange) {
         locked(&self.log).record(change);
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Notes that the table was read anew.
+    /// Records that the table was read in full.
     pub fn reset(&self) {
         locked(&self.log).reset();
         self.changed.send_modify(|count| *count += 1);
     }
 }
 
-/// Tells whether this process follows the table itself.
-pub fn is_direct(node: &Node) -> bool {
+/// Returns whether this process follows the table at the store itself.
+pub fn follows_store(node: &Node) -> bool {
     let hosts = fleet::name();
     let owns_hosts = node.owned().contains_key(&hosts) || node.loading().contains_key(&hosts);
     owns_hosts
         || !relay::allows_relayed_age(node)
         || !fleet::is_wanted(node)
-        || node.now() < *locked(&node.registry.direct)
+        || node.now() < *locked(&node.registry.direct_until)
 }
 
-fn pools(node: &Node) -> Vec<PoolName> {
+fn owned_pools(node: &Node) -> Vec<PoolName> {
     let mut pools: Vec<PoolName> = node.owned().keys().cloned().collect();
     pools.extend(node.loading().keys().cloned());
     pools.sort_unstable();
@@ -126,59 +128,65 @@
     pools
 }
 
-/// Asks the owner of all hosts for the workers of this process's pools, for as long as the process lives.
+/// Requests the workers of this process's pools from the fleet owner, for as long as the process
+/// runs.
 pub async fn run(node: Arc<Node>) {
     let mut known: Option<(Vec<PoolName>, Position)> = None;
     loop {
-        let pools = pools(&node);
-        // What the table's last poll tells may be older than an answer that comes before it.
-        if pools.is_empty() || is_direct(&node) || node.view().follows_workers {
+        let pools = owned_pools(&node);
+        // The last poll of the table may return state that is older than an earlier answer of the
+        // fleet owner.
+        if pools.is_empty() || follows_store(&node) || node.view().follows_workers {
             known = None;
-            *locked(&node.registry.last_answer) = node.now();
-            time::sleep(PAUSE).await;
+            *locked(&node.registry.last_answer_at) = node.now();
+            time::sleep(RETRY_PAUSE).await;
             continue;
         }
         let after = known.as_ref().filter(|(of, _)| *of == pools).map(|(_, position)| *position);
         let source = node.view().owner(&fleet::name()).map(|(_, address)| address);
         let page = match source {
             Some(source) => {
-                ask(&node, source, WorkersRequest { pools: pools.clone(), after }).await
+                request_workers(&node, source, WorkersRequest { pools: pools.clone(), after }).await
             }
             None => None,
         };
         match page {
             Some(page) => {
                 known = Some((pools, page.position));
-                *locked(&node.registry.last_answer) = node.now();
+                *locked(&node.registry.last_answer_at) = node.now();
                 apply(&node, page);
-                time::sleep(GAP).await;
+                time::sleep(POLL_PAUSE).await;
             }
             None => {
                 known = None;
-                fall_back(&node);
-                time::sleep(PAUSE).await;
+                fall_back_to_store(&node);
+                time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Follows the table itself for a while, if there has been no good answer for too long.
-fn fall_back(node: &Node) {
+/// Follows the table at the store for a while, if there has been no usable answer for too long.
+fn fall_back_to_store(node: &Node) {
     let now = node.now();
-    if now.since(*locked(&node.registry.last_answer)) >= PATIENCE {
-        log::info!("the owner of all hosts does not tell of workers, so they are followed");
-        *locked(&node.registry.direct) = now + DIRECT_TIME;
+    if now.since(*locked(&node.registry.last_answer_at)) >= MAX_ANSWER_AGE {
+        log::info!("the fleet owner does not report workers, following the table instead");
+        *locked(&node.registry.direct_until) = now + MIN_DIRECT_PERIOD;
         node.pool_acquired.notify_one();
     }
 }
 
-async fn ask(node: &Node, source: SocketAddr, request: WorkersRequest) -> Option<WorkersPage> {
-    let wait = WAIT.duration() + ANSWER_TIME;
-    match node.peers.ask(source, &PeerRequest::Workers(request), wait).await {
+async fn request_workers(
+    node: &Node,
+    source: SocketAddr,
+    request: WorkersRequest,
+) -> Option<WorkersPage> {
+    let wait = MAX_HOLD.duration() + ANSWER_TIMEOUT;
+    match node.peers.call(source, &PeerRequest::Workers(request), wait).await {
         Ok(PeerReply::Workers(page)) => page,
         Ok(_) => None,
         Err(error) => {
-            log::info!("workers are not told by {source}: {error}");
+            log::info!("workers can't be read from the fleet owner {source}: {error}");
             None
         }
     }
@@ -208,23 +216,24 @@
     node.workers_changed.send_modify(|count| *count += 1);
 }
 
-/// Answers an owner of pools; `None` if this process does not follow the workers closely enough itself.
-pub async fn answer(node: &Node, request: WorkersRequest) -> Option<WorkersPage> {
+/// Answers an owner of pools; returns `None` if this process does not follow the workers closely
+/// enough itself.
+pub async fn serve(node: &Node, request: WorkersRequest) -> Option<WorkersPage> {
     let mut changed = node.registry.changed.subscribe();
-    let begun = node.now();
+    let received_at = node.now();
     loop {
         let now = node.now();
-        let fresh = now.since(node.view().workers_current_at) <= AGE_MOST;
+        let fresh = now.since(node.view().workers_current_at) <= MAX_AGE;
         if !node.owned().contains_key(&fleet::name()) || !node.view().workers_loaded || !fresh {
             return None;
         }
         let page = page(node, &request);
-        let held = now.since(begun);
-        if page.whole || !page.changes.is_empty() || held >= WAIT {
+        let held = now.since(received_at);
+        if page.whole || !page.changes.is_empty() || held >= MAX_HOLD {
             return Some(page);
         }
-        let left = Millis(WAIT.0 - held.0).duration();
-        // Either end of the wait leads to another look.
+        let left = Millis(MAX_HOLD.0 - held.0).duration();
+        // The state is checked again after a notification as well as after the timeout.
         let _ = time::timeout(left, changed.changed()).await;
     }
 }
@@ -236,12 +245,16 @@
     let after = request.after.filter(|after| after.epoch == position.epoch);
     let own = |pool: &PoolName| request.pools.contains(pool);
     if let Some(newer) = after.and_then(|after| log.since(after.version)) {
-        // A worker may have come from another pool, so those that are elsewhere now are gone here.
-        let told = |change: &WorkerChange| WorkerChange {
+        // A worker may have moved to another pool; such a worker is reported as removed.
+        let visible_change = |change: &WorkerChange| WorkerChange {
             id: change.id.clone(),
             info: change.info.clone().filter(|info| own(&info.pool)),
         };
-        return WorkersPage { position, whole: false, changes: newer.map(told).collect() };
+        return WorkersPage {
+            position,
+            whole: false,
+            changes: newer.map(visible_change).collect(),
+        };
     }
     let all = view.workers.values().filter(|info| own(&info.pool));
     let changes = all.map(|info| WorkerChange { id: info.id.clone(), info: Some(info.clone()) });
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -1,8 +1,8 @@
-//! Following tables of the store by way of a member, and passing them on.
+//! Relays tables of the store between processes, so that most processes don't poll the store.
 //!
-//! A process that is no member and owns nothing asks a member for what operators wrote and for the leases. What it is told is as
-//! good as the member's own knowledge, and it counts as old as that was. Whenever a member does not answer, or does not know, the
-//! store itself is asked.
+//! A process that is no member and owns nothing reads the operators' table and the leases from a
+//! member. The rows are as good as the member's own state and count as old as that was. If a member
+//! does not answer, or its own state is not current, the process asks the store itself.
 
 use std::{
     collections::BTreeMap,
@@ -30,158 +30,167 @@
     peer::{PeerReply, PeerRequest},
 };
 
-/// How long a member may hold a question until something changes.
-const WAIT: Millis = Millis(500);
+/// Maximum time that a member holds a request until something changes.
+const MAX_HOLD: Millis = Millis(500);
 
-/// Longest wait for a member's answer beyond that.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Timeout of a member's answer beyond that.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How old the knowledge of a member may be that is passed on.
-const AGE_MOST: Millis = Millis(1900);
+/// Maximum age of relayed state.
+const MAX_AGE: Millis = Millis(1900);
 
-/// How old the knowledge of whoever asks a member gets: a poll of the member, and a question to it.
-const RELAYED_AGE: Millis = Millis(1700);
+/// Maximum age that state reaches by way of a member: one poll of the member, and one request to
+/// it.
+const MAX_RELAYED_AGE: Millis = Millis(1700);
 
-/// A question for a table.
+/// A request for a table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TableRequest {
-    /// The table.
+    /// The table's name.
     pub table: String,
-    /// Up to where it is known; `None` asks for all of it.
+    /// The revision up to which the rows are known; `None` requests the whole table.
     pub after: Option<Revision>,
-    /// How long the question may be held until something changes.
+    /// The maximum time to hold the request until something changes.
     pub wait: Millis,
 }
 
-/// The answer.
+/// The answer to a [`TableRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum TableReply {
     /// The changes, or the whole table.
     Page {
-        /// What changed.
+        /// The rows.
         page: FeedPage,
-        /// How long the question was held, in milliseconds.
+        /// How long the request was held, in milliseconds.
         held: u64,
-        /// How old the knowledge was at the end, in milliseconds.
+        /// The age of the state when it was sent, in milliseconds.
         age: u64,
     },
-    /// The changes are not kept; the whole table has to be asked for.
+    /// The changes are no longer kept; the whole table has to be requested.
     Forgotten,
-    /// This process does not follow the table closely enough itself.
+    /// This process's own state of the table is not current enough.
     Unknown,
 }
 
-/// What a feed told, and as of when.
-pub struct Followed {
-    /// The changes.
+/// A page of a feed with the time as of which it is valid.
+pub struct DatedPage {
+    /// The rows.
     pub page: FeedPage,
-    /// When the table was so.
+    /// When the table was in this state.
     pub at: Tick,
 }
 
-/// A table that this process passes on.
-struct Passed {
+/// A table that this process relays.
+struct RelayedTable {
     log: TableChangeLog,
-    seen: Tick,
+    current_at: Tick,
 }
 
-/// What is passed on, and whom this process asks.
+/// The relayed tables, and the member that this process requests tables from.
 pub struct Relay {
-    tables: Mutex<BTreeMap<&'static str, Passed>>,
-    /// The newest change that the store has told of each table.
-    told: Mutex<BTreeMap<&'static str, Revision>>,
+    tables: Mutex<BTreeMap<&'static str, RelayedTable>>,
+    /// The newest change of each table that the store has returned.
+    newest_changes: Mutex<BTreeMap<&'static str, Revision>>,
     changed: watch::Sender<u64>,
     source: Mutex<Option<SocketAddr>>,
 }
 
 impl Relay {
-    /// Returns a relay that passes nothing on yet.
+    /// Returns a relay without tables.
     pub fn new() -> Self {
         Self {
             tables: Mutex::default(),
-            told: Mutex::default(),
+            newest_changes: Mutex::default(),
             changed: watch::Sender::new(0),
             source: Mutex::default(),
         }
     }
 
-    /// Notes what the store told of a table, as of `at`.
+    /// Records rows that the store returned, valid as of `at`.
     fn record(&self, table: &'static str, page: &FeedPage, at: Tick) {
         if let Some(newest) = page.changes.iter().map(|change| change.row.revision).max() {
-            locked(&self.told).insert(table, newest);
+            locked(&self.newest_changes).insert(table, newest);
         }
-        if let Some(passed) = locked(&self.tables).get_mut(table) {
-            passed.log.record(&page.changes, page.revision);
-            passed.seen = passed.seen.max(at);
+        if let Some(relayed) = locked(&self.tables).get_mut(table) {
+            relayed.log.record(&page.changes, page.revision);
+            relayed.current_at = relayed.current_at.max(at);
         }
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Begins to pass a table on.
-    fn begin(&self, table: &'static str, page: FeedPage, at: Tick) {
-        let told = locked(&self.told).get(table).copied().unwrap_or_default();
-        // A change that the store told beyond the page meanwhile was not recorded.
-        if told <= page.revision {
-            locked(&self.tables).insert(table, Passed { log: TableChangeLog::new(page), seen: at });
+    /// Starts to relay a table.
+    fn start_relaying(&self, table: &'static str, page: FeedPage, at: Tick) {
+        let newest = locked(&self.newest_changes).get(table).copied().unwrap_or_default();
+        // A change that the store returned beyond the page in the meantime was not recorded in this
+        // log.
+        if newest <= page.revision {
+            locked(&self.tables)
+                .insert(table, RelayedTable { log: TableChangeLog::new(page), current_at: at });
         }
     }
 
-    /// Returns what is known of a table beyond a revision, and since when that may be old.
-    fn known(&self, request: &TableRequest, table: &str) -> Option<(Option<FeedPage>, Tick)> {
+    /// Returns the changes of a table after the requested revision, and as of when they are valid.
+    /// The page is `None` if they are no longer kept.
+    fn changes_after(
+        &self,
+        request: &TableRequest,
+        table: &str,
+    ) -> Option<(Option<FeedPage>, Tick)> {
         let tables = locked(&self.tables);
-        let passed = tables.get(table)?;
+        let relayed = tables.get(table)?;
         let page = match request.after {
-            Some(after) => passed.log.since(after),
-            None => Some(passed.log.whole()),
+            Some(after) => relayed.log.since(after),
+            None => Some(relayed.log.whole()),
         };
-        Some((page, passed.seen))
+        Some((page, relayed.current_at))
     }
 }
 
-/// Tells whether knowledge may be as old as it gets by way of another process.
+/// Returns whether the configured limits allow state as old as relayed state gets.
 pub fn allows_relayed_age(node: &Node) -> bool {
-    RELAYED_AGE <= config_age(node)
+    MAX_RELAYED_AGE <= config_age(node)
 }
 
-/// Tells whether this process leaves the store to others: it owns nothing, members watch the owners, and knowledge may be as
-/// old as it gets that way.
+/// Returns whether this process reads tables from members instead of the store: it owns nothing,
+/// members watch the owners, and state may be as old as it gets that way.
 pub fn uses_relay(node: &Node) -> bool {
     allows_relayed_age(node) && node.is_idle()
 }
 
-/// Returns a whole table.
+/// Reads a whole table, from a member or the store.
 ///
 /// # Errors
 ///
 /// Any [`StoreError`].
-pub async fn table(node: &Node, table: &'static str) -> Result<Followed, StoreError> {
+pub async fn read_table(node: &Node, table: &'static str) -> Result<DatedPage, StoreError> {
     let at = node.now();
     if uses_relay(node)
-        && let Some(TableReply::Page { page, held, age }) = ask(node, table, None, WAIT).await
+        && let Some(TableReply::Page { page, held, age }) =
+            request_table(node, table, None, MAX_HOLD).await
     {
-        return Ok(followed(at, page, held, age));
+        return Ok(dated(at, page, held, age));
     }
     let at = node.now();
     let page = node.services.feed.table(table).await?;
     node.relay.record(table, &page, at);
-    Ok(Followed { page, at })
+    Ok(DatedPage { page, at })
 }
 
-/// Waits for changes of a table.
+/// Waits for changes of a table, from a member or the store.
 ///
 /// # Errors
 ///
 /// Any [`FeedError`].
-pub async fn changes(
+pub async fn poll_changes(
     node: &Node,
     table: &'static str,
     revision: Revision,
     wait: Millis,
-) -> Result<Followed, FeedError> {
+) -> Result<DatedPage, FeedError> {
     let at = node.now();
     if uses_relay(node) {
-        match ask(node, table, Some(revision), WAIT).await {
-            Some(TableReply::Page { page, held, age }) => return Ok(followed(at, page, held, age)),
+        match request_table(node, table, Some(revision), MAX_HOLD).await {
+            Some(TableReply::Page { page, held, age }) => return Ok(dated(at, page, held, age)),
             Some(TableReply::Forgotten) => return Err(FeedError::Forgotten),
             Some(TableReply::Unknown) | None => {}
         }
@@ -189,29 +198,31 @@
     let at = node.now();
     let page = node.services.feed.changes(table, revision, wait).await?;
     node.relay.record(table, &page, at);
-    Ok(Followed { page, at })
+    Ok(DatedPage { page, at })
 }
 
-/// The answer was made `held` after the question came, which was sent at `sent`, by knowledge that was `age` old then.
-fn followed(sent: Tick, page: FeedPage, held: u64, age: u64) -> Followed {
-    Followed { page, at: (sent + Millis(held)) - Millis(age) }
+/// Dates a relayed page: the answer was made `held` after the request, which was sent at `sent`,
+/// from state that was `age` old then.
+fn dated(sent: Tick, page: FeedPage, held: u64, age: u64) -> DatedPage {
+    DatedPage { page, at: (sent + Millis(held)) - Millis(age) }
 }
 
-/// Asks a member; `None` if none answers. One that does not know is not asked again soon.
-async fn ask(
+/// Requests a table from a member; returns `None` if it does not answer. After an answer without
+/// rows another member is chosen next time.
+async fn request_table(
     node: &Node,
     table: &'static str,
     after: Option<Revision>,
     wait: Millis,
 ) -> Option<TableReply> {
     let source = source(node)?;
-    let question = PeerRequest::Table(TableRequest { table: table.to_owned(), after, wait });
-    let deadline = wait.duration() + ANSWER_TIME;
-    let reply = match node.peers.ask(source, &question, deadline).await {
+    let message = PeerRequest::Table(TableRequest { table: table.to_owned(), after, wait });
+    let deadline = wait.duration() + ANSWER_TIMEOUT;
+    let reply = match node.peers.call(source, &message, deadline).await {
         Ok(PeerReply::Table(reply)) => Some(reply),
         Ok(_) => None,
         Err(error) => {
-            log::info!("table={table} is not told by {source}: {error}");
+            log::info!("table={table} can't be read from member {source}: {error}");
             None
         }
     };
@@ -221,7 +232,7 @@
     reply
 }
 
-/// Returns the member that this process asks, another one after each that failed.
+/// Returns the member to request from, another one after each that failed.
 fn source(node: &Node) -> Option<SocketAddr> {
     let mut source = locked(&node.relay.source);
     if source.is_none() {
@@ -232,8 +243,8 @@
     *source
 }
 
-/// Answers a process that asks for a table.
-pub async fn answer(node: &Arc<Node>, request: TableRequest) -> TableReply {
+/// Answers a process that requests a table.
+pub async fn serve(node: &Arc<Node>, request: TableRequest) -> TableReply {
     let row_format = &node.services.row_format;
     let tables = [row_format.operator_table(), LEASE_TABLE];
     let Some(table) = tables.into_iter().find(|table| *table == request.table) else {
@@ -242,20 +253,20 @@
     if uses_relay(node) {
         return TableReply::Unknown;
     }
-    let wait = request.wait.min(WAIT);
+    let wait = request.wait.min(MAX_HOLD);
     let mut changed = node.relay.changed.subscribe();
-    if node.relay.known(&request, table).is_none() {
-        begin(node, table).await;
+    if node.relay.changes_after(&request, table).is_none() {
+        start_relaying(node, table).await;
     }
-    let begun = node.now();
+    let received_at = node.now();
     loop {
         let now = node.now();
-        let held = now.since(begun);
-        let Some((page, seen)) = node.relay.known(&request, table) else {
+        let held = now.since(received_at);
+        let Some((page, current_at)) = node.relay.changes_after(&request, table) else {
             return TableReply::Unknown;
         };
-        let age = now.since(seen);
-        if age > AGE_MOST || node.view().store_failing {
+        let age = now.since(current_at);
+        if age > MAX_AGE || node.view().store_failing {
             return TableReply::Unknown;
         }
         let Some(page) = page else {
@@ -265,42 +276,47 @@
             return TableReply::Page { page, held: held.0, age: age.0 };
         }
         let left = Millis(wait.0 - held.0).duration();
-        // Either end of the wait leads to another look.
+        // The state is checked again after a notification as well as after the timeout.
         let _ = time::timeout(left, changed.changed()).await;
     }
 }
 
-/// Returns what a member knows now of a table beyond a revision, if this process leaves the store to others; members hear of a
-/// change within milliseconds.
-pub async fn glance(node: &Node, table: &'static str, after: Revision) -> Option<Followed> {
+/// Returns the changes that a member knows of now, without waiting, if this process reads tables
+/// from members; members learn of a change within milliseconds.
+pub async fn latest_from_member(
+    node: &Node,
+    table: &'static str,
+    after: Revision,
+) -> Option<DatedPage> {
     if !uses_relay(node) {
         return None;
     }
     let at = node.now();
-    match ask(node, table, Some(after), Millis(0)).await {
-        Some(TableReply::Page { page, held, age }) => Some(followed(at, page, held, age)),
+    match request_table(node, table, Some(after), Millis(0)).await {
+        Some(TableReply::Page { page, held, age }) => Some(dated(at, page, held, age)),
         _ => None,
     }
 }
 
-/// Returns what a member knows of the leases, if the store turns this process away and it owns nothing: it may have been turned
-/// away before it knew who owns what. Nothing else is believed on that word.
-pub async fn leases_of_member(node: &Node) -> Option<FeedPage> {
+/// Returns a member's leases, if this process owns nothing and the store rejects it: it may have
+/// been rejected before it knew the owners. Only leases are taken from a member in this case.
+pub async fn leases_from_member(node: &Node) -> Option<FeedPage> {
     if node.owns_any() {
         return None;
     }
     node.outage()?;
-    match ask(node, LEASE_TABLE, None, Millis(0)).await {
+    match request_table(node, LEASE_TABLE, None, Millis(0)).await {
         Some(TableReply::Page { page, .. }) => Some(page),
         _ => None,
     }
 }
 
-/// Reads a table for those that ask for it; from then on what the followers hear is passed on.
-async fn begin(node: &Node, table: &'static str) {
+/// Reads a table that others request; from then on the changes that the followers receive are
+/// relayed.
+async fn start_relaying(node: &Node, table: &'static str) {
     let at = node.now();
     match node.services.feed.table(table).await {
-        Ok(page) => node.relay.begin(table, page, at),
-        Err(error) => log::info!("table={table} can't be passed on: {error}"),
+        Ok(page) => node.relay.start_relaying(table, page, at),
+        Err(error) => log::info!("table={table} can't be relayed: {error}"),
     }
 }
--- a/reachhead_node/src/submit/mod.rs
+++ b/reachhead_node/src/submit/mod.rs
@@ -37,9 +37,9 @@
 pub use self::peers::{StoreOutcome, store_for_peer};
 use self::peers::{hand_on, not_taken, owner_of};
 use crate::{
-    frontend::ask_pool,
+    frontend::call_pool_owner,
     node::Node,
-    peer::{PoolRequest, Submitted},
+    peer::{AcceptedJob, PoolRequest},
 };
 
 /// Jobs in one transaction at most: each takes three of the hundred entries that the platform allows.
@@ -255,7 +255,7 @@
         }
         Err(StoreError::Refused(error)) => {
             log::warn!("pool={pool} the store refuses {} jobs: {error}", batch.len());
-            node.metrics.refused.inc();
+            node.metrics.store_refusals.inc();
             refused(node, pool, batch).await
         }
         Err(StoreError::NotDone(_) | StoreError::Busy(_)) => not_taken(node, pool, batch).await,
@@ -285,7 +285,7 @@
         );
         // A caller that has left finds the job when it asks again.
         let _ = reply.send(Answer::Accepted);
-        jobs.push(Submitted { id, record, row: revision });
+        jobs.push(AcceptedJob { id, record, row: revision });
     }
     tokio::spawn(notify(Arc::clone(node), pool.clone(), jobs));
 }
@@ -324,9 +324,9 @@
 }
 
 /// Tells the owner of a pool of jobs; if that fails, it finds them in the store.
-async fn notify(node: Arc<Node>, pool: PoolName, jobs: Vec<Submitted>) {
+async fn notify(node: Arc<Node>, pool: PoolName, jobs: Vec<AcceptedJob>) {
     for _ in 0..NOTIFY_TRIES {
-        if ask_pool(&node, &pool, PoolRequest::Submit(jobs.clone())).await.is_some() {
+        if call_pool_owner(&node, &pool, PoolRequest::Submit(jobs.clone())).await.is_some() {
             return;
         }
         time::sleep(NOTIFY_PAUSE).await;
--- a/reachhead_node/src/submit/peers.rs
+++ b/reachhead_node/src/submit/peers.rs
@@ -13,7 +13,7 @@
 use crate::{
     failure_detector,
     node::Node,
-    peer::{PeerReply, PeerRequest, Unstored},
+    peer::{PeerReply, PeerRequest, UnstoredJob},
 };
 
 /// Longest wait for an owner that stores jobs for this process; callers wait for three seconds.
@@ -100,10 +100,10 @@
 ) -> Vec<Submission> {
     let jobs = batch
         .iter()
-        .map(|submission| Unstored { id: submission.id, record: submission.record.clone() });
+        .map(|submission| UnstoredJob { id: submission.id, record: submission.record.clone() });
     let request = PeerRequest::Store(pool.clone(), jobs.collect());
     let begun = Instant::now();
-    let outcomes = match node.peers.ask(owner, &request, HAND_ON_TIME).await {
+    let outcomes = match node.peers.call(owner, &request, HAND_ON_TIME).await {
         Ok(PeerReply::Stored(outcomes)) if outcomes.len() == batch.len() => outcomes,
         Ok(_) => vec![StoreOutcome::Unknown; batch.len()],
         Err(CallError::NotSent(error) | CallError::NoListener(error)) => {
@@ -136,7 +136,7 @@
 }
 
 /// Stores jobs that a peer handed on; returns what became of each.
-pub async fn store_for_peer(node: &Arc<Node>, jobs: Vec<Unstored>) -> Vec<StoreOutcome> {
+pub async fn store_for_peer(node: &Arc<Node>, jobs: Vec<UnstoredJob>) -> Vec<StoreOutcome> {
     let until = Instant::now() + HAND_ON_TIME;
     let answers =
         jobs.into_iter().map(|job| node.submitter.submit(node, job.id, job.record, until, true));
--- a/reachhead_node/src/takeover.rs
+++ b/reachhead_node/src/takeover.rs
@@ -131,7 +131,7 @@
     ///
     /// The error of the store for a read that failed; the lease still names this process.
     pub async fn load(&mut self) -> Result<Option<RecoveredState>, StoreError> {
-        let result = self.read().await;
+        let result = self.read_missing().await;
         self.sequential |= result.is_err();
         if !result? {
             return Ok(None);
@@ -141,16 +141,17 @@
         for error in errors {
             emit(Event::RowRefused, error);
         }
-        let mut found = RecoveredState { effect: self.effect, roster, ..RecoveredState::default() };
+        let mut recovered =
+            RecoveredState { effect: self.effect, roster, ..RecoveredState::default() };
         for (shard, shard_rows) in std::mem::take(&mut self.shards) {
-            found.fences.insert(shard, shard_rows.fence);
-            found.jobs.append(&mut stored_jobs(&shard_rows));
+            recovered.fences.insert(shard, shard_rows.fence);
+            recovered.jobs.append(&mut stored_jobs(&shard_rows));
         }
-        Ok(Some(found))
+        Ok(Some(recovered))
     }
 
     /// Reads the missing rows; returns `false` if a later owner has fenced a shard.
-    async fn read(&mut self) -> Result<bool, StoreError> {
+    async fn read_missing(&mut self) -> Result<bool, StoreError> {
         let missing: Vec<Shard> =
             Shard::all().filter(|shard| !self.shards.contains_key(shard)).collect();
         let concurrency = if self.sequential { 1 } else { missing.len().max(1) };
