--- a/reachhead_node/src/fleet/lives.rs
+++ b/reachhead_node/src/fleet/ended_workers.rs
@@ -30,7 +30,7 @@
 }
 
 /// A life of a worker that is over.
-struct EndedLife {
+struct EndedWorker {
     pool: PoolName,
     worker: WorkerId,
     at: Tick,
@@ -39,15 +39,15 @@
 }
 
 /// What orders about hosts have ended.
-pub struct Lives {
+pub struct EndedWorkers {
     node: Arc<Node>,
     /// Orders whose effect the platform's list does not show yet.
     open: BTreeMap<HostId, OpenOrder>,
     /// Lives that are over, until no owner can wait for them any more.
-    ended: Vec<EndedLife>,
+    ended: Vec<EndedWorker>,
 }
 
-impl Lives {
+impl EndedWorkers {
     /// Returns none.
     pub fn new(node: Arc<Node>) -> Self {
         Self { node, open: BTreeMap::new(), ended: Vec::new() }
@@ -102,7 +102,7 @@
 
     fn note_ended(&mut self, pool: PoolName, worker: WorkerId, now: Tick) {
         if !self.ended.iter().any(|ended| ended.worker == worker) {
-            self.ended.push(EndedLife { pool, worker, at: now, told: None });
+            self.ended.push(EndedWorker { pool, worker, at: now, told: None });
         }
     }
 
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! Orders about hosts: their maintenance in waves and their moves. One process at a time is in charge of all hosts.
 
-mod lives;
-mod memory;
+mod ended_workers;
 mod quotas;
+mod usage;
 mod waves;
 
 use std::{
@@ -28,8 +28,8 @@
 use tokio::{sync::mpsc, time};
 
 use self::{
-    lives::{Lives, OpenOrder},
-    memory::Memory,
+    ended_workers::{EndedWorkers, OpenOrder},
+    usage::UsageStore,
     waves::Held,
 };
 use crate::{
@@ -103,8 +103,8 @@
         term: lease.record.term,
         waves: BTreeMap::new(),
         machines: BTreeMap::new(),
-        lives: Lives::new(Arc::clone(&node)),
-        memory: Memory::default(),
+        ended_workers: EndedWorkers::new(Arc::clone(&node)),
+        usage: UsageStore::default(),
         restarted: BTreeSet::new(),
         moves: Moves::new(Arc::clone(&node), Arc::clone(&permit_issuer)),
         permit_issuer,
@@ -122,8 +122,8 @@
     begin: Tick,
     waves: BTreeMap<WaveName, Held>,
     machines: BTreeMap<HostId, PlatformHost>,
-    lives: Lives,
-    memory: Memory,
+    ended_workers: EndedWorkers,
+    usage: UsageStore,
     /// Hosts whose worker ended after an order, though the order was not answered yet.
     restarted: BTreeSet<HostId>,
     moves: Moves,
@@ -170,36 +170,36 @@
         }
         let stores_usage = self.moves.stores_usage(self.machines.len());
         if stores_usage {
-            self.recall().await;
+            self.load_usage().await;
         }
         self.move_hosts().await;
         if stores_usage {
-            self.remember().await;
+            self.save_usage().await;
         }
     }
 
     /// Finds out which workers orders have ended, and tells those who may wait for them.
     async fn settle_lives(&mut self) {
         let now = self.node.now();
-        for host in self.lives.settle(&self.machines, self.moves.unreachable(), now) {
+        for host in self.ended_workers.settle(&self.machines, self.moves.unreachable(), now) {
             if self.waves.values().any(|held| held.wave.is_due(&host)) {
                 self.restarted.insert(host);
             }
         }
-        self.lives.tell_owners(now).await;
+        self.ended_workers.tell_owners(now).await;
     }
 
     async fn move_hosts(&mut self) {
         let waves: Vec<&Wave> = self.waves.values().map(|held| &held.wave).collect();
         let held = |host: &HostId| {
-            self.lives.is_open(host) || waves.iter().any(|wave| wave.is_emptying(host))
+            self.ended_workers.is_open(host) || waves.iter().any(|wave| wave.is_emptying(host))
         };
         let moved = self.moves.round(&self.machines, held).await;
         for moved in moved {
             self.fenced |= moved.fenced;
             if let Some(worker) = moved.step.worker.filter(|_| moved.may_have_effect) {
                 let order = OpenOrder { pool: moved.step.from, worker, maintenance: false };
-                self.lives.ordered(&moved.step.host, order);
+                self.ended_workers.ordered(&moved.step.host, order);
             }
         }
     }
--- a/reachhead_node/src/fleet/memory.rs
+++ b/reachhead_node/src/fleet/usage.rs
@@ -22,7 +22,7 @@
 
 /// The row, and what of it is known.
 #[derive(Default)]
-pub(super) struct Memory {
+pub(super) struct UsageStore {
     /// What a predecessor left was read.
     read: bool,
     revision: Option<Revision>,
@@ -39,8 +39,8 @@
     }
 
     /// Takes over what a predecessor left, unless that is done.
-    pub(super) async fn recall(&mut self) {
-        if self.memory.read {
+    pub(super) async fn load_usage(&mut self) {
+        if self.usage.read {
             return;
         }
         let rows = self.node.services.store.read(vec![use_key(&name())]).await;
@@ -52,56 +52,55 @@
                 return;
             }
         };
-        self.memory.read = true;
+        self.usage.read = true;
         let Some(row) = row else {
             return;
         };
-        self.memory.revision = Some(row.revision);
+        self.usage.revision = Some(row.revision);
         match row.parse::<UsageRecord>() {
             Ok(record) => {
                 let clock = self.clock_pair();
                 self.moves.balance().restore(&record, clock);
-                self.memory.stored = record;
+                self.usage.stored = record;
             }
             Err(error) => emit(Event::RowRefused, error),
         }
     }
 
     /// Writes what a successor has to know, if that has changed.
-    pub(super) async fn remember(&mut self) {
-        self.saved().await;
+    pub(super) async fn save_usage(&mut self) {
+        self.finish_save().await;
         let now = self.node.now();
-        if self.memory.saving.is_some() || now < self.memory.next {
+        if self.usage.saving.is_some() || now < self.usage.next {
             return;
         }
         let clock = self.clock_pair();
         let record = self.moves.balance().record(clock);
-        if record == self.memory.stored {
+        if record == self.usage.stored {
             return;
         }
-        self.memory.next = now + SAVE_PERIOD;
+        self.usage.next = now + SAVE_PERIOD;
         let key = use_key(&name());
         let txn = Txn::new()
             .with_check(lease_key(&name()), Some(self.token))
-            .with_check(key.clone(), self.memory.revision)
+            .with_check(key.clone(), self.usage.revision)
             .with_write(key, value(&record));
-        self.memory.stored = record;
+        self.usage.stored = record;
         let store = Arc::clone(&self.node.services.store);
-        self.memory.saving = Some(tokio::spawn(async move { store.commit(txn).await }));
+        self.usage.saving = Some(tokio::spawn(async move { store.commit(txn).await }));
     }
 
     /// Takes in what became of a write, if it has ended.
-    async fn saved(&mut self) {
-        let Some(saving) = self.memory.saving.take_if(|saving| saving.is_finished()) else {
+    async fn finish_save(&mut self) {
+        let Some(saving) = self.usage.saving.take_if(|saving| saving.is_finished()) else {
             return;
         };
         match saving.await {
-            Ok(Ok(Commit::Done(revision))) => self.memory.revision = Some(revision),
+            Ok(Ok(Commit::Done(revision))) => self.usage.revision = Some(revision),
             Ok(Ok(Commit::Conflict(conflicts))) => {
                 let own = conflicts.into_iter().find(|conflict| conflict.key == use_key(&name()));
                 // An owner that is relieved learns that from the leases.
-                self.memory.revision =
-                    own.and_then(|conflict| conflict.row).map(|row| row.revision);
+                self.usage.revision = own.and_then(|conflict| conflict.row).map(|row| row.revision);
             }
             Ok(Err(error)) => emit(Event::RecordFailed, format_args!("hosts in use: {error}")),
             Err(error) => log::warn!("the write of what hosts are used has failed: {error}"),
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -14,7 +14,7 @@
     size::Revision,
 };
 
-use super::{Fleet, lives::OpenOrder, name};
+use super::{Fleet, ended_workers::OpenOrder, name};
 use crate::{
     frontend::call_pool_owner,
     peer::{PeerReply, PoolRequest},
@@ -146,10 +146,10 @@
                 continue;
             }
             held.wave.ordered(&machine.host, now);
-            let first = !self.lives.is_open(&machine.host);
+            let first = !self.ended_workers.is_open(&machine.host);
             if let Some(worker) = machine.worker.filter(|_| first) {
                 let order = OpenOrder { pool: machine.pool, worker, maintenance: true };
-                self.lives.ordered(&machine.host, order);
+                self.ended_workers.ordered(&machine.host, order);
             }
             taken.push(Taken { host: machine.host, progress, first });
         }
@@ -202,7 +202,7 @@
             Err(HostOrderError::Busy | HostOrderError::NotDone(_)) => {
                 held.wave.not_taken(host);
                 if *first {
-                    self.lives.withdrawn(host);
+                    self.ended_workers.withdrawn(host);
                 }
                 false
             }
