--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -1,9 +1,10 @@
-//! Who is let in: from a call's path and key to its queue and customer, or to a refusal.
+//! Admission control: maps a call's path and key to its queue and customer, or refuses it.
 //!
-//! Load: callers with keys that were just added or taken away, on every process, while the store may serve the others and
-//! turn this one away; and callers that try keys. A call is let in by the configuration as followed, which is at most a
-//! second old. What that refuses is looked at once more in the store, or at a peer that reaches it, since a key or a route
-//! may be new; all that wait share one look, so whoever tries many keys costs the store no more than one.
+//! A call is admitted by the followed configuration, which is at most a second old. Before a call
+//! is refused, the configuration is refreshed from the store, or from a peer that reaches it, since
+//! a key or a route may be new; the store may reject this process while it serves others. All
+//! waiting calls share one refresh, so a caller that tries many keys costs the store no more than
+//! one.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,43 +30,45 @@
     relay,
 };
 
-/// Age above which the configuration is looked at before a call is decided by it, at least. The followed table
-/// is confirmed every second, so this is only reached when its connection fails.
-const CONFIG_AGE: Millis = Millis(1400);
+/// Lower bound of the age above which the configuration is refreshed before a call is decided. The
+/// followed table is confirmed every second, so this age is only reached when its connection fails.
+const MIN_REFRESH_AGE: Millis = Millis(1400);
 
-/// The part of the time in which a configuration has to be in force that may pass before that.
-const AGE_PERCENT: u64 = 45;
+/// Share of the time in which a configuration must take effect that may pass before a refresh.
+const REFRESH_AGE_PERCENT: u64 = 45;
 
-/// Longest wait for a look at the configuration, at the store and again at a peer.
-const LOOK_TIME: Duration = Duration::from_millis(300);
+/// Timeout of a refresh from the store, and again from a peer.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a look that failed is believed to fail again. Callers of an outage are not held up, each for a look of its own.
-const FAILED_TIME: Millis = Millis(3000);
+/// How long after a failed refresh calls get its result instead of a refresh of their own, so that
+/// an outage does not delay them.
+const FAILURE_CACHE_PERIOD: Millis = Millis(3000);
 
-/// How long after a look that failed the next one is made, without anybody waiting for it.
-const RETRY_TIME: Millis = Millis(800);
+/// Delay after a failed refresh until the next one runs in the background.
+const FAILURE_RETRY_DELAY: Millis = Millis(800);
 
-/// Least time from one look to the next: five a second tell a caller of a new key soon enough, and are next to nothing for
-/// the store, whatever is tried here.
-const LOOK_SPACING: Millis = Millis(200);
+/// Minimum time between two refreshes: five a second apply a new key soon enough and are a
+/// negligible load for the store, whatever keys are tried.
+const MIN_REFRESH_INTERVAL: Millis = Millis(200);
 
-/// How often an owner looks whether it is behind what operators wrote.
-const CURRENT_PERIOD: Duration = Duration::from_millis(400);
+/// Interval at which an owner checks whether its configuration is out of date.
+const OWNER_CHECK_PERIOD: Duration = Duration::from_millis(400);
 
-/// How lately a peer must have been heard, and the store have answered it, to be asked for the configuration.
-const PEER_TIME: Millis = Millis(1500);
+/// Maximum age of a peer's last answer, and of its last contact with the store, for the
+/// configuration to be requested from it.
+const MAX_PEER_AGE: Millis = Millis(1500);
 
-/// The last look at what operators wrote.
+/// The last refresh of the configuration.
 #[derive(Debug, Clone, Default)]
-struct Look {
-    begun: Tick,
-    failed: Option<String>,
+struct Refresh {
+    started: Tick,
+    failure: Option<String>,
 }
 
-/// Lets calls in.
+/// Admits or refuses calls.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    last: Mutex<Look>,
+    last: Mutex<Refresh>,
 }
 
 impl AdmissionControl {
@@ -78,7 +81,8 @@
     ///
     /// # Errors
     ///
-    /// `NoRoute` or `UnknownKey` if the newest configuration says so, `NotReady` if this process can't know.
+    /// `NoRoute` or `UnknownKey` if the newest configuration says so, `NotReady` if this process
+    /// can't read it.
     pub async fn admit(
         &self,
         node: &Arc<Node>,
@@ -93,10 +97,10 @@
         let now = node.now();
         let age = now.since(node.view().config_current_at);
         let known = find();
-        if age <= config_age(node) && known.is_ok() {
+        if age <= max_config_age(node) && known.is_ok() {
             return known;
         }
-        let Some(error) = self.look(node).await else {
+        let Some(error) = self.refresh_shared(node).await else {
             return find().inspect_err(|refused| {
                 let version = node.view().config.as_ref().map(|config| config.version);
                 emit(
@@ -107,10 +111,10 @@
                 );
             });
         };
-        // Nobody can say what operators wrote since. Without the store a submission can't be stored anyhow, and a state
-        // that an old route leads to is true.
+        // The newest configuration can't be read. Without the store a submission can't be stored
+        // anyway, and a job's state is true even if it was found by an old route.
         if let Ok(admission) = find() {
-            log::info!("path={path} let in by a configuration of {age} ms ago: {error}");
+            log::info!("path={path} admitted by a configuration confirmed {age} ms ago: {error}");
             return Ok(admission);
         }
         let refused = ErrorKind::NotReady;
@@ -121,59 +125,62 @@
         Err(refused)
     }
 
-    /// Takes in what operators have written before now; returns why that failed. Calls that come while a look is under way
-    /// share the next one.
-    async fn look(&self, node: &Arc<Node>) -> Option<String> {
+    /// Applies the operators' changes up to now; returns the error if that failed. Calls that
+    /// arrive during a refresh share the next one.
+    async fn refresh_shared(&self, node: &Arc<Node>) -> Option<String> {
         let arrived = node.now();
         let mut last = self.last.lock().await;
-        let passed = node.now().since(last.begun);
-        let fails = last.failed.is_some() && passed < FAILED_TIME;
-        if fails && passed >= RETRY_TIME {
-            // Callers during it share what came of the last one.
-            last.begun = node.now();
-            tokio::spawn(Self::retry(Arc::clone(node)));
+        let elapsed = node.now().since(last.started);
+        let recently_failed = last.failure.is_some() && elapsed < FAILURE_CACHE_PERIOD;
+        if recently_failed && elapsed >= FAILURE_RETRY_DELAY {
+            // Calls during the background refresh get the result of the last one.
+            last.started = node.now();
+            tokio::spawn(Self::refresh_in_background(Arc::clone(node)));
         }
-        if last.begun >= arrived || fails {
-            return last.failed.clone();
+        if last.started >= arrived || recently_failed {
+            return last.failure.clone();
         }
-        time::sleep(Millis(LOOK_SPACING.0.saturating_sub(passed.0)).duration()).await;
-        last.begun = node.now();
-        last.failed = refresh(node).await.err();
-        last.failed.clone()
+        time::sleep(Millis(MIN_REFRESH_INTERVAL.0.saturating_sub(elapsed.0)).duration()).await;
+        last.started = node.now();
+        last.failure = refresh(node).await.err();
+        last.failure.clone()
     }
 
-    /// Looks once more after a look that failed.
-    async fn retry(node: Arc<Node>) {
-        let begun = node.now();
-        let failed = refresh(&node).await.err();
+    /// Refreshes the configuration in the background after a failure.
+    async fn refresh_in_background(node: Arc<Node>) {
+        let started = node.now();
+        let failure = refresh(&node).await.err();
         let mut last = node.admission.last.lock().await;
-        if last.begun <= begun || failed.is_none() {
-            *last = Look { begun, failed };
+        if last.started <= started || failure.is_none() {
+            *last = Refresh { started, failure };
         }
     }
 }
 
-/// Returns the age above which the configuration is looked at before anything is decided by it.
-pub fn config_age(node: &Node) -> Millis {
-    Millis(node.settings.apply.0 * AGE_PERCENT / 100).max(CONFIG_AGE)
+/// Returns the age above which the configuration is refreshed before it decides anything.
+pub fn max_config_age(node: &Node) -> Millis {
+    Millis(node.settings.apply.0 * REFRESH_AGE_PERCENT / 100).max(MIN_REFRESH_AGE)
 }
 
-/// Keeps an owner of pools from being behind what operators wrote, for as long as the process lives: where the store turns it
-/// away a peer is asked, since it starts nothing by knowledge that is too old.
-pub async fn keep_current(node: Arc<Node>) {
+/// Keeps the configuration of an owner of pools current, for as long as the process runs. If the
+/// store rejects this process, a peer is asked, since an owner with an outdated configuration
+/// starts nothing.
+pub async fn keep_config_current(node: Arc<Node>) {
     loop {
-        time::sleep(CURRENT_PERIOD).await;
+        time::sleep(OWNER_CHECK_PERIOD).await;
         let age = node.now().since(node.view().config_current_at);
-        if age > config_age(&node)
+        if age > max_config_age(&node)
             && !node.owned().is_empty()
-            && let Some(error) = node.admission.look(&node).await
+            && let Some(error) = node.admission.refresh_shared(&node).await
         {
-            log::info!("what operators wrote is known as of {age} ms ago: {error}");
+            log::info!(
+                "the configuration was confirmed {age} ms ago and can't be refreshed: {error}"
+            );
         }
     }
 }
 
-/// Returns the queue and the customer of a call as a configuration has them.
+/// Returns the queue and the customer of a call under a configuration.
 fn find(
     config: &Configuration,
     host: &str,
@@ -188,29 +195,30 @@
     Ok(Admission { queue: Arc::clone(queue), customer: customer.cloned() })
 }
 
-/// Takes in what operators have written since the table was last seen, by the store's word or, where that turns this
-/// process away, by a peer's: a key that was taken away must not live on here.
+/// Applies the operators' changes since the last confirmation, from the store or, if that rejects
+/// this process, from a peer: a revoked key must not stay valid here.
 async fn refresh(node: &Arc<Node>) -> Result<(), String> {
     let operators = Operators(Arc::clone(node));
     let known = node.view().config_revision;
-    if let Some(told) = relay::latest_from_member(node, operators.table(), known).await {
-        operators.apply(&told.page.changes);
-        operators.confirm_current(told.at, told.page.revision);
+    if let Some(dated) = relay::latest_from_member(node, operators.table(), known).await {
+        operators.apply(&dated.page.changes);
+        operators.confirm_current(dated.at, dated.page.revision);
         return Ok(());
     }
     let sent = node.now();
-    // A process that was paused finds its calls failed though the store is well, so the store is always asked.
-    let store = within(ask_store(node, &operators));
+    // A process that was paused finds its calls failed although the store is available, so the
+    // store is always asked.
+    let store = with_timeout(read_from_store(node, &operators));
     let page = if node.view().store_failing {
-        let peer = within(ask_peer(node));
+        let peer = with_timeout(read_from_peer(node));
         let both: [BoxFuture<'_, Result<FeedPage, String>>; 2] = [store.boxed(), peer.boxed()];
         select_ok(both).await?.0
     } else {
         match store.await {
             Ok(page) => page,
-            Err(error) => {
-                within(ask_peer(node)).await.map_err(|peer| format!("{error}, {peer}"))?
-            }
+            Err(error) => with_timeout(read_from_peer(node))
+                .await
+                .map_err(|peer| format!("{error}, {peer}"))?,
         }
     };
     operators.apply(&page.changes);
@@ -218,23 +226,24 @@
     Ok(())
 }
 
-async fn within<T>(call: impl Future<Output = Result<T, String>>) -> Result<T, String> {
-    match time::timeout(LOOK_TIME, call).await {
+async fn with_timeout<T>(call: impl Future<Output = Result<T, String>>) -> Result<T, String> {
+    match time::timeout(REFRESH_TIMEOUT, call).await {
         Ok(result) => result,
         Err(_) => Err("no answer in time".to_owned()),
     }
 }
 
-/// Asks the feed for changes: a configuration can be large and the link of a host small, so it is not read anew for each
-/// call that asks for an unknown route.
-async fn ask_store(node: &Node, operators: &Operators) -> Result<FeedPage, String> {
+/// Reads changes from the feed. The whole configuration can be large and a host's link small, so it
+/// is not read in full for each call with an unknown route.
+async fn read_from_store(node: &Node, operators: &Operators) -> Result<FeedPage, String> {
     let known = node.view().config_revision;
     let page = operator_changes(node, operators.table(), known).await;
     node.record_store_result(&page);
     page.map_err(|error| error.to_string())
 }
 
-/// Returns what operators have written after `revision`, or all of it if the store has forgotten that.
+/// Returns the operators' changes after `revision`, or the whole table if the store no longer keeps
+/// the changes.
 pub async fn operator_changes(
     node: &Node,
     table: &'static str,
@@ -247,13 +256,13 @@
     }
 }
 
-async fn ask_peer(node: &Node) -> Result<FeedPage, String> {
-    let peer = node.view().peer_reaching_store(node.now(), PEER_TIME, PEER_TIME);
-    let peer = peer.ok_or("no peer reaches it")?;
+async fn read_from_peer(node: &Node) -> Result<FeedPage, String> {
+    let peer = node.view().peer_reaching_store(node.now(), MAX_PEER_AGE, MAX_PEER_AGE);
+    let peer = peer.ok_or("no peer reaches the store")?;
     let request = PeerRequest::OperatorChanges(node.view().config_revision);
-    match node.peers.call(peer, &request, LOOK_TIME).await {
+    match node.peers.call(peer, &request, REFRESH_TIMEOUT).await {
         Ok(PeerReply::OperatorChanges(Some(page))) => Ok(page),
-        Ok(_) => Err(format!("peer={peer} can't say")),
+        Ok(_) => Err(format!("peer={peer} can't read the operators' changes")),
         Err(error) => Err(format!("peer={peer} {error}")),
     }
 }
--- a/reachhead_node/src/election.rs
+++ b/reachhead_node/src/election.rs
@@ -121,7 +121,7 @@
         };
         let mut pools: Vec<PoolName> =
             config.pools.values().map(|pool| pool.name.clone()).collect();
-        if fleet::is_wanted(&self.node) {
+        if fleet::is_needed(&self.node) {
             pools.push(fleet::name());
         }
         for pool in pools {
--- a/reachhead_node/src/fleet/ended_workers.rs
+++ b/reachhead_node/src/fleet/ended_workers.rs
@@ -1,4 +1,5 @@
-//! Lives of workers that orders about hosts have ended, and who has to know.
+//! Workers whose incarnations were ended by orders about their hosts, and the notification of the
+//! owners that wait for them.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -15,11 +16,11 @@
 
 use crate::{frontend::call_pool_owner, node::Node, peer::PoolRequest};
 
-/// How long successors of a pool's owner are told that a life of a worker is over: longer than they would wait
-/// for its leases to lapse.
-const TOLD_TIME: Millis = Millis(12_000);
+/// How long owners of a pool, including successors, are notified of an ended worker: longer than
+/// they would wait for its leases to expire.
+const NOTIFY_PERIOD: Millis = Millis(12_000);
 
-/// A life of a worker that an order about its host ends, if the order has effect.
+/// An order about a host that ends a worker's incarnation, if it takes effect.
 pub struct OpenOrder {
     /// The worker's pool.
     pub pool: PoolName,
@@ -29,69 +30,71 @@
     pub maintenance: bool,
 }
 
-/// A life of a worker that is over.
+/// A worker whose incarnation has ended.
 struct EndedWorker {
     pool: PoolName,
     worker: WorkerId,
     at: Tick,
-    /// The lease of the owner that was told.
-    told: Option<Revision>,
+    /// The lease of the owner that was notified last.
+    notified: Option<Revision>,
 }
 
-/// What orders about hosts have ended.
+/// The workers that orders have ended or may have ended.
 pub struct EndedWorkers {
     node: Arc<Node>,
     /// Orders whose effect the platform's list does not show yet.
     open: BTreeMap<HostId, OpenOrder>,
-    /// Lives that are over, until no owner can wait for them any more.
+    /// Ended workers, kept until no owner can wait for them any more.
     ended: Vec<EndedWorker>,
 }
 
 impl EndedWorkers {
-    /// Returns none.
+    /// Returns the state without orders.
     pub fn new(node: Arc<Node>) -> Self {
         Self { node, open: BTreeMap::new(), ended: Vec::new() }
     }
 
-    /// Notes an order that may have had effect; a repeated one tells nothing new.
-    pub fn ordered(&mut self, host: &HostId, order: OpenOrder) {
+    /// Records an order that may have had effect; a repeated order changes nothing.
+    pub fn record_order(&mut self, host: &HostId, order: OpenOrder) {
         self.open.entry(host.clone()).or_insert(order);
     }
 
-    /// Tells whether an order about the host is open.
+    /// Returns whether an order about the host is open.
     pub fn is_open(&self, host: &HostId) -> bool {
         self.open.contains_key(host)
     }
 
-    /// Notes that the open order about the host surely had no effect.
-    pub fn withdrawn(&mut self, host: &HostId) {
+    /// Removes the open order about the host, which certainly had no effect.
+    pub fn withdraw_order(&mut self, host: &HostId) {
         self.open.remove(host);
     }
 
-    /// Looks at the platform's list and returns the hosts that it shows as taken by maintenance. Only the list proves
-    /// it: an order is also answered with success when it had been carried out before, and the host has a new life since.
+    /// Resolves open orders by the platform's list and returns the hosts that it shows as taken for
+    /// maintenance. Only the list is proof: an order is also answered with success if it had been
+    /// carried out before, and the host has a new worker since.
     pub fn settle(
         &mut self,
-        machines: &BTreeMap<HostId, PlatformHost>,
+        platform_hosts: &BTreeMap<HostId, PlatformHost>,
         unreachable: &[UnreachableWorker],
         now: Tick,
     ) -> Vec<HostId> {
-        for UnreachableWorker { pool, worker } in dead_workers::dead_workers(unreachable, machines)
+        for UnreachableWorker { pool, worker } in
+            dead_workers::dead_workers(unreachable, platform_hosts)
         {
-            self.note_ended(pool.clone(), worker.clone(), now);
+            self.record_ended(pool.clone(), worker.clone(), now);
         }
-        let over = |host: &HostId, order: &OpenOrder| {
-            machines.get(host).is_none_or(|machine| {
-                machine.state != PlatformHostState::Up
-                    || machine.worker.as_ref() != Some(&order.worker)
+        let has_ended = |host: &HostId, order: &OpenOrder| {
+            platform_hosts.get(host).is_none_or(|platform_host| {
+                platform_host.state != PlatformHostState::Up
+                    || platform_host.worker.as_ref() != Some(&order.worker)
             })
         };
-        let hosts = self.open.iter().filter(|(host, order)| over(host, order));
+        let hosts = self.open.iter().filter(|(host, order)| has_ended(host, order));
         let hosts: Vec<HostId> = hosts.map(|(host, _)| host.clone()).collect();
         let mut maintained = Vec::new();
         for host in hosts {
             if let Some(order) = self.open.remove(&host) {
-                self.note_ended(order.pool, order.worker, now);
+                self.record_ended(order.pool, order.worker, now);
                 if order.maintenance {
                     maintained.push(host);
                 }
@@ -100,34 +103,34 @@
         maintained
     }
 
-    fn note_ended(&mut self, pool: PoolName, worker: WorkerId, now: Tick) {
+    fn record_ended(&mut self, pool: PoolName, worker: WorkerId, now: Tick) {
         if !self.ended.iter().any(|ended| ended.worker == worker) {
-            self.ended.push(EndedWorker { pool, worker, at: now, told: None });
+            self.ended.push(EndedWorker { pool, worker, at: now, notified: None });
         }
     }
 
-    /// Tells the owners of pools of the lives that are over, and their successors once more: who takes a pool
-    /// over would wait for a worker's answer until its leases have lapsed.
-    pub async fn tell_owners(&mut self, now: Tick) {
-        self.ended.retain(|ended| now.since(ended.at) < TOLD_TIME);
+    /// Notifies the pools' owners of ended workers, and each successor again: a successor would
+    /// otherwise wait for a worker's answer until its leases have expired.
+    pub async fn notify_owners(&mut self, now: Tick) {
+        self.ended.retain(|ended| now.since(ended.at) < NOTIFY_PERIOD);
         let node = Arc::clone(&self.node);
         let lease = |pool: &PoolName| node.view().leases.get(pool).map(|lease| lease.revision);
-        let mut news: BTreeMap<PoolName, Vec<WorkerId>> = BTreeMap::new();
+        let mut unnotified: BTreeMap<PoolName, Vec<WorkerId>> = BTreeMap::new();
         for ended in &self.ended {
-            if ended.told != lease(&ended.pool) {
-                news.entry(ended.pool.clone()).or_default().push(ended.worker.clone());
+            if ended.notified != lease(&ended.pool) {
+                unnotified.entry(ended.pool.clone()).or_default().push(ended.worker.clone());
             }
         }
-        let asks = news.into_iter().map(|(pool, workers)| async {
+        let requests = unnotified.into_iter().map(|(pool, workers)| async {
             let current = lease(&pool)?;
             call_pool_owner(&node, &pool, PoolRequest::WorkersDied(workers)).await?;
             Some((pool, current))
         });
-        let told: BTreeMap<PoolName, Revision> =
-            join_all(asks).await.into_iter().flatten().collect();
+        let notified: BTreeMap<PoolName, Revision> =
+            join_all(requests).await.into_iter().flatten().collect();
         for ended in &mut self.ended {
-            if let Some(revision) = told.get(&ended.pool) {
-                ended.told = Some(*revision);
+            if let Some(revision) = notified.get(&ended.pool) {
+                ended.notified = Some(*revision);
             }
         }
     }
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Orders about hosts: their maintenance in waves and their moves. One process at a time is in charge of all hosts.
+//! The fleet owner: the one process at a time that gives orders about hosts, for maintenance waves
+//! and for moves between pools.
 
 mod ended_workers;
 mod quotas;
@@ -30,7 +31,7 @@
 use self::{
     ended_workers::{EndedWorkers, OpenOrder},
     usage::UsageStore,
-    waves::Held,
+    waves::ActiveWave,
 };
 use crate::{
     election,
@@ -41,10 +42,10 @@
     view::{LeaseView, PeerStatus},
 };
 
-/// How often waves and pools are looked at.
-const ROUND: Duration = Duration::from_millis(100);
+/// Interval between two rounds over waves and pools.
+const ROUND_PERIOD: Duration = Duration::from_millis(100);
 
-/// Returns how long the process gives no order after it took charge.
+/// Returns how long a new fleet owner gives no orders after taking the lease.
 fn takeover_wait(node: &Node, before: Option<&LeaseView>) -> Millis {
     let Some(lease) = before else {
         return Millis(0);
@@ -52,7 +53,7 @@
     let view = node.view();
     let owner = lease.record.owner.as_ref();
     let status = owner.and_then(|owner| view.peers.get(owner));
-    let denies = |status: &&PeerStatus| {
+    let denies_lease = |status: &&PeerStatus| {
         status.pong.owned.get(&name()).is_none_or(|token| *token < lease.revision)
     };
     let previous = PreviousHolder {
@@ -60,13 +61,13 @@
         since: lease.since,
         observed: view.leases_first_read_at.is_some_and(|first| lease.since > first),
         own: owner == Some(&node.settings.node),
-        denied: status.filter(denies).map(|status| status.at),
+        denied: status.filter(denies_lease).map(|status| status.at),
     };
-    let checked = node.settings.machines.is_none_or(|hosts| hosts.fenced);
-    previous.takeover_wait(node.now(), node.settings.duty, checked)
+    let platform_checks_token = node.settings.machines.is_none_or(|hosts| hosts.fenced);
+    previous.takeover_wait(node.now(), node.settings.duty, platform_checks_token)
 }
 
-/// Returns the name under which the lease of all hosts is kept; no pool of the platform begins so.
+/// Returns the name of the fleet lease; no pool of the platform has a name that starts with a dot.
 pub fn name() -> PoolName {
     match ".hosts".parse() {
         Ok(name) => name,
@@ -74,13 +75,13 @@
     }
 }
 
-/// Tells whether there is anything for an owner of all hosts to do.
-pub fn is_wanted(node: &Node) -> bool {
+/// Returns whether there is anything for a fleet owner to do.
+pub fn is_needed(node: &Node) -> bool {
     let limited = |config: &Arc<Configuration>| config.customers.any_limited();
     node.services.hosts.is_some() || node.view().config.as_ref().is_some_and(limited)
 }
 
-/// Carries out waves until the lease is lost or given back.
+/// Runs the fleet owner until its lease is lost or released.
 pub async fn run(
     node: Arc<Node>,
     handle: OwnerHandle,
@@ -93,19 +94,19 @@
         Event::LeaseTaken,
         format_args!("pool={} token={token} term={}", name(), lease.record.term),
     );
-    let quiet = takeover_wait(&node, before.as_ref());
+    let wait = takeover_wait(&node, before.as_ref());
     let permit_issuer =
         Arc::new(PermitIssuer::new(Arc::clone(&node), name(), FencingToken(token.0)));
     let mut fleet = Fleet {
-        begin: node.now() + quiet,
+        orders_start_at: node.now() + wait,
         node: Arc::clone(&node),
         token,
         term: lease.record.term,
         waves: BTreeMap::new(),
-        machines: BTreeMap::new(),
+        platform_hosts: BTreeMap::new(),
         ended_workers: EndedWorkers::new(Arc::clone(&node)),
         usage: UsageStore::default(),
-        restarted: BTreeSet::new(),
+        ended_hosts: BTreeSet::new(),
         moves: Moves::new(Arc::clone(&node), Arc::clone(&permit_issuer)),
         permit_issuer,
         fenced: false,
@@ -119,13 +120,13 @@
     node: Arc<Node>,
     token: Revision,
     term: u64,
-    begin: Tick,
-    waves: BTreeMap<WaveName, Held>,
-    machines: BTreeMap<HostId, PlatformHost>,
+    orders_start_at: Tick,
+    waves: BTreeMap<WaveName, ActiveWave>,
+    platform_hosts: BTreeMap<HostId, PlatformHost>,
     ended_workers: EndedWorkers,
     usage: UsageStore,
-    /// Hosts whose worker ended after an order, though the order was not answered yet.
-    restarted: BTreeSet<HostId>,
+    /// Hosts whose worker has ended after a maintenance order that was not answered yet.
+    ended_hosts: BTreeSet<HostId>,
     moves: Moves,
     permit_issuer: Arc<PermitIssuer>,
     fenced: bool,
@@ -134,10 +135,10 @@
 impl Fleet {
     async fn run(&mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
         let mut pause = Duration::ZERO;
-        while !self.fenced && self.in_charge() {
-            match time::timeout(std::mem::replace(&mut pause, ROUND), inputs.recv()).await {
+        while !self.fenced && self.holds_lease() {
+            match time::timeout(std::mem::replace(&mut pause, ROUND_PERIOD), inputs.recv()).await {
                 Ok(Some(Input::Release(done))) => {
-                    self.give_back().await;
+                    self.release_lease().await;
                     let _ = done.send(());
                     return;
                 }
@@ -145,30 +146,31 @@
                 Ok(Some(_)) => continue,
                 Err(_) => {}
             }
-            if self.node.now() >= self.begin {
+            if self.node.now() >= self.orders_start_at {
                 self.round().await;
             }
         }
     }
 
-    fn in_charge(&self) -> bool {
+    fn holds_lease(&self) -> bool {
         let view = self.node.view();
-        let named = view.leases.get(&name()).is_none_or(|lease| lease.revision <= self.token);
-        named && !self.permit_issuer.is_lost()
+        let not_replaced =
+            view.leases.get(&name()).is_none_or(|lease| lease.revision <= self.token);
+        not_replaced && !self.permit_issuer.is_lost()
     }
 
     async fn round(&mut self) {
-        self.find_waves().await;
-        self.waves.retain(|_, held| !held.wave.record.completed);
-        if !self.read_machines().await {
+        self.load_waves().await;
+        self.waves.retain(|_, active| !active.wave.record.completed);
+        if !self.list_hosts().await {
             return;
         }
-        self.settle_lives().await;
+        self.settle_ended_workers().await;
         let names: Vec<WaveName> = self.waves.keys().cloned().collect();
         for wave in names {
-            self.drive(&wave).await;
+            self.advance_wave(&wave).await;
         }
-        let stores_usage = self.moves.stores_usage(self.machines.len());
+        let stores_usage = self.moves.stores_usage(self.platform_hosts.len());
         if stores_usage {
             self.load_usage().await;
         }
@@ -178,50 +180,52 @@
         }
     }
 
-    /// Finds out which workers orders have ended, and tells those who may wait for them.
-    async fn settle_lives(&mut self) {
+    /// Determines which workers have been ended by orders, and notifies the owners of their pools.
+    async fn settle_ended_workers(&mut self) {
         let now = self.node.now();
-        for host in self.ended_workers.settle(&self.machines, self.moves.unreachable(), now) {
-            if self.waves.values().any(|held| held.wave.is_due(&host)) {
-                self.restarted.insert(host);
+        for host in self.ended_workers.settle(&self.platform_hosts, self.moves.unreachable(), now) {
+            if self.waves.values().any(|active| active.wave.is_due(&host)) {
+                self.ended_hosts.insert(host);
             }
         }
-        self.ended_workers.tell_owners(now).await;
+        self.ended_workers.notify_owners(now).await;
     }
 
     async fn move_hosts(&mut self) {
-        let waves: Vec<&Wave> = self.waves.values().map(|held| &held.wave).collect();
-        let held = |host: &HostId| {
+        let waves: Vec<&Wave> = self.waves.values().map(|active| &active.wave).collect();
+        let is_held = |host: &HostId| {
             self.ended_workers.is_open(host) || waves.iter().any(|wave| wave.is_emptying(host))
         };
-        let moved = self.moves.round(&self.machines, held).await;
+        let moved = self.moves.round(&self.platform_hosts, is_held).await;
         for moved in moved {
             self.fenced |= moved.fenced;
             if let Some(worker) = moved.step.worker.filter(|_| moved.may_have_effect) {
                 let order = OpenOrder { pool: moved.step.from, worker, maintenance: false };
-                self.ended_workers.ordered(&moved.step.host, order);
+                self.ended_workers.record_order(&moved.step.host, order);
             }
         }
     }
 
-    async fn read_machines(&mut self) -> bool {
-        let Some(machines) = &self.node.services.hosts else {
+    async fn list_hosts(&mut self) -> bool {
+        let Some(api) = &self.node.services.hosts else {
             return false;
         };
-        match machines.list().await {
+        match api.list().await {
             Ok(list) => {
-                self.machines =
-                    list.into_iter().map(|machine| (machine.host.clone(), machine)).collect();
+                self.platform_hosts = list
+                    .into_iter()
+                    .map(|platform_host| (platform_host.host.clone(), platform_host))
+                    .collect();
                 true
             }
             Err(error) => {
-                log::info!("the hosts can't be listed: {error}");
+                log::info!("the platform's hosts can't be listed: {error}");
                 false
             }
         }
     }
 
-    async fn give_back(&self) {
+    async fn release_lease(&self) {
         let record =
             LeaseRecord { owner: None, address: None, term: self.term, settled: true, open: None };
         let txn = Txn::new()
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -1,4 +1,5 @@
-//! Keeping the ledger of customers' quotas: what each pool may have running, told to the pools' owners.
+//! Enforces customers' quotas across pools: keeps the ledger and sends each pool's owner the limits
+//! of what it may run.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,42 +22,44 @@
     peer::{PeerReply, PoolRequest},
 };
 
-/// Pause between two rounds while no customer waits for more: what pools have changes, and is to be known when one does.
-const CALM_PAUSE: Duration = Duration::from_millis(250);
+/// Pause between two rounds while no customer waits for more. The usage of pools changes, and
+/// should be known when a customer does.
+const IDLE_PAUSE: Duration = Duration::from_millis(250);
 
-/// Pause between two rounds while a customer's tasks wait for room in its quota, all of which is in use: when a task ends,
-/// the room is given to whoever waits within this.
-const SHORT_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two rounds while a customer's tasks wait and its quota is fully used: when a task
+/// ends, the free quota is given to a waiting pool within this time.
+const CONTENDED_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause between two rounds while limits change: a limit can be raised only after another one was lowered, and tasks wait
-/// for both.
-const MOVING_PAUSE: Duration = Duration::from_millis(25);
+/// Pause between two rounds while limits change: a limit can be raised only after another one was
+/// lowered, and tasks wait for both.
+const REBALANCE_PAUSE: Duration = Duration::from_millis(25);
 
-/// How long an owner may take to answer; the others are not kept waiting for one that is gone.
-const ANSWER_TIME: Duration = Duration::from_millis(200);
+/// Timeout of an owner's answer, so that an owner that is gone does not delay the others.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Keeps the ledger for as long as this process is in charge of all hosts with this token.
+/// Keeps the ledger for as long as this process owns the fleet lease with this token.
 pub async fn run(node: Arc<Node>, token: Revision) {
-    // An owner sees a new ledger within the time for which it trusts its own lease; what it started until its limits are
-    // void ends with its lease at the latest where nobody prolongs that.
+    // An owner sees a new ledger within the time for which it trusts its own lease; what it started
+    // until its limits expire ends with its lease at the latest if it is not renewed.
     let effect = Millis(LEASE_TRUST_TIME.0 + LIMIT_EXPIRY.0 + with_drift(MAX_WORKER_LEASE).0);
     let mut ledger = Ledger::new(FencingToken(token.0), effect, node.now());
     while node.local(&name()).is_some_and(|handle| handle.token == token) {
-        // An owner whose lease is older than this one's has to be known as the owner, see `Owner::allot`.
-        let sees = node.view().leases_revision >= token;
-        let again = sees && round(&node, &mut ledger).await;
-        let pause = if again || ledger.is_moving() {
-            MOVING_PAUSE
+        // An owner whose lease is older than this one must be known as the owner, see
+        // `Owner::allot`.
+        let knows_older_leases = node.view().leases_revision >= token;
+        let repeat_soon = knows_older_leases && round(&node, &mut ledger).await;
+        let pause = if repeat_soon || ledger.is_moving() {
+            REBALANCE_PAUSE
         } else if ledger.is_short() {
-            SHORT_PAUSE
+            CONTENDED_PAUSE
         } else {
-            CALM_PAUSE
+            IDLE_PAUSE
         };
         time::sleep(pause).await;
     }
 }
 
-/// Tells all owners what their pools are allotted; tells whether any of them is new and has nothing yet.
+/// Sends the limits of each pool to its owner; returns whether an owner is new and has none yet.
 async fn round(node: &Arc<Node>, ledger: &mut Ledger) -> bool {
     let Some(config) = node.view().config.clone() else {
         return false;
@@ -65,25 +68,29 @@
         return false;
     }
     let messages = ledger.round(config.pools.keys(), &config.customers, node.now());
-    let asks = messages.into_iter().map(|(pool, allotment)| async move {
-        let report = ask(node, &pool, &allotment).await;
+    let requests = messages.into_iter().map(|(pool, allotment)| async move {
+        let report = send_allotment(node, &pool, &allotment).await;
         (pool, allotment, report)
     });
-    let mut news = false;
-    for (pool, allotment, report) in join_all(asks).await {
+    let mut has_new_owner = false;
+    for (pool, allotment, report) in join_all(requests).await {
         let lease = node.view().leases.get(&pool).map(|lease| FencingToken(lease.revision.0));
-        // What an owner says that has been replaced does not bind its successor.
+        // The report of a replaced owner does not bind its successor.
         let current = |report: &UsageReport| Some(report.owner) >= lease;
         if let Some(report) = report.filter(current) {
-            news |= ledger.stated(&pool, &allotment, report, node.now());
+            has_new_owner |= ledger.stated(&pool, &allotment, report, node.now());
         }
     }
-    news
+    has_new_owner
 }
 
-async fn ask(node: &Node, pool: &PoolName, allotment: &Allotment) -> Option<UsageReport> {
+async fn send_allotment(
+    node: &Node,
+    pool: &PoolName,
+    allotment: &Allotment,
+) -> Option<UsageReport> {
     let request = call_pool_owner(node, pool, PoolRequest::Allot(allotment.clone()));
-    match time::timeout(ANSWER_TIME, request).await {
+    match time::timeout(ANSWER_TIMEOUT, request).await {
         Ok(Some(PeerReply::Usage(report))) => Some(report),
         _ => None,
     }
--- a/reachhead_node/src/fleet/usage.rs
+++ b/reachhead_node/src/fleet/usage.rs
@@ -1,4 +1,5 @@
-//! What the owner of all hosts leaves to its successor about the pools' use of their hosts.
+//! The stored record of the pools' use of their hosts, which the fleet owner leaves to its
+//! successor.
 
 use std::sync::Arc;
 
@@ -17,30 +18,31 @@
 
 use super::{Fleet, name};
 
-/// Least time between two writes: a successor needs no more than what bursts filled some seconds ago.
+/// Minimum time between two writes: a successor needs no more than the usage of a burst some
+/// seconds ago.
 const SAVE_PERIOD: Millis = Millis(2000);
 
-/// The row, and what of it is known.
+/// The row of the record, and the state of reading and writing it.
 #[derive(Default)]
 pub(super) struct UsageStore {
-    /// What a predecessor left was read.
-    read: bool,
+    /// The record of a predecessor has been read.
+    loaded: bool,
     revision: Option<Revision>,
     stored: UsageRecord,
     next: Tick,
-    /// A write that is under way; rounds do not wait for it.
-    saving: Option<JoinHandle<Result<Commit, StoreError>>>,
+    /// The write in progress; rounds do not wait for it.
+    pending_write: Option<JoinHandle<Result<Commit, StoreError>>>,
 }
 
 impl Fleet {
-    /// Returns the time of day at this moment.
+    /// Returns the monotonic time together with the time of day.
     fn clock_pair(&self) -> ClockPair {
         ClockPair { now: self.node.now(), wall: self.node.clock.wall() }
     }
 
-    /// Takes over what a predecessor left, unless that is done.
+    /// Loads the record of a predecessor, unless that is done.
     pub(super) async fn load_usage(&mut self) {
-        if self.usage.read {
+        if self.usage.loaded {
             return;
         }
         let rows = self.node.services.store.read(vec![use_key(&name())]).await;
@@ -48,11 +50,11 @@
         let row = match rows {
             Ok(rows) => rows.into_iter().flatten().next(),
             Err(error) => {
-                log::info!("what hosts were used can't be read: {error}");
+                log::info!("the usage of hosts can't be read: {error}");
                 return;
             }
         };
-        self.usage.read = true;
+        self.usage.loaded = true;
         let Some(row) = row else {
             return;
         };
@@ -67,11 +69,11 @@
         }
     }
 
-    /// Writes what a successor has to know, if that has changed.
+    /// Writes the record if it has changed.
     pub(super) async fn save_usage(&mut self) {
         self.finish_save().await;
         let now = self.node.now();
-        if self.usage.saving.is_some() || now < self.usage.next {
+        if self.usage.pending_write.is_some() || now < self.usage.next {
             return;
         }
         let clock = self.clock_pair();
@@ -87,23 +89,25 @@
             .with_write(key, value(&record));
         self.usage.stored = record;
         let store = Arc::clone(&self.node.services.store);
-        self.usage.saving = Some(tokio::spawn(async move { store.commit(txn).await }));
+        self.usage.pending_write = Some(tokio::spawn(async move { store.commit(txn).await }));
     }
 
-    /// Takes in what became of a write, if it has ended.
+    /// Processes the result of a write that has ended.
     async fn finish_save(&mut self) {
-        let Some(saving) = self.usage.saving.take_if(|saving| saving.is_finished()) else {
+        let Some(pending_write) =
+            self.usage.pending_write.take_if(|pending_write| pending_write.is_finished())
+        else {
             return;
         };
-        match saving.await {
+        match pending_write.await {
             Ok(Ok(Commit::Done(revision))) => self.usage.revision = Some(revision),
             Ok(Ok(Commit::Conflict(conflicts))) => {
                 let own = conflicts.into_iter().find(|conflict| conflict.key == use_key(&name()));
-                // An owner that is relieved learns that from the leases.
+                // An owner that has lost its lease learns that from the leases.
                 self.usage.revision = own.and_then(|conflict| conflict.row).map(|row| row.revision);
             }
-            Ok(Err(error)) => emit(Event::RecordFailed, format_args!("hosts in use: {error}")),
-            Err(error) => log::warn!("the write of what hosts are used has failed: {error}"),
+            Ok(Err(error)) => emit(Event::RecordFailed, format_args!("usage of hosts: {error}")),
+            Err(error) => log::warn!("writing the usage of hosts failed: {error}"),
         }
     }
 }
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -1,4 +1,5 @@
-//! Carrying waves out: hosts are emptied and ordered down, and what has begun is recorded.
+//! Carries out maintenance waves: drains hosts, orders their maintenance, and records which hosts
+//! have begun.
 
 use futures::future::join_all;
 use reachhead_jobs::{
@@ -20,17 +21,17 @@
     peer::{PeerReply, PoolRequest},
 };
 
-/// A wave in the hands of this process.
-pub(super) struct Held {
+/// A wave that this process carries out.
+pub(super) struct ActiveWave {
     pub(super) wave: Wave,
     pub(super) revision: Option<Revision>,
 }
 
-/// A host that is ordered down.
-struct Taken {
+/// A host whose maintenance is being ordered.
+struct OrderedHost {
     host: HostId,
     progress: DrainProgress,
-    /// No earlier order about it is open.
+    /// No earlier order about the host is open.
     first: bool,
 }
 
@@ -39,8 +40,8 @@
 }
 
 impl Fleet {
-    /// Takes over waves that operators asked for and that are not completed.
-    pub(super) async fn find_waves(&mut self) {
+    /// Loads waves that operators requested and that are not completed.
+    pub(super) async fn load_waves(&mut self) {
         let orders: Vec<WaveOrder> = self.node.view().waves.values().cloned().collect();
         for order in orders {
             if self.waves.contains_key(&order.name) || self.is_completed(&order.name) {
@@ -51,7 +52,7 @@
             let row = match rows {
                 Ok(rows) => rows.into_iter().flatten().next(),
                 Err(error) => {
-                    log::info!("wave={} its row can't be read: {error}", order.name);
+                    log::info!("wave={} the row can't be read: {error}", order.name);
                     continue;
                 }
             };
@@ -78,107 +79,108 @@
                 continue;
             }
             let wave = Wave::new(order.clone(), record, self.node.now());
-            let held = Held { wave, revision: row.map(|row| row.revision) };
-            self.waves.insert(order.name.clone(), held);
+            let active = ActiveWave { wave, revision: row.map(|row| row.revision) };
+            self.waves.insert(order.name.clone(), active);
             self.save(&order.name).await;
         }
     }
 
     fn is_completed(&self, wave: &WaveName) -> bool {
-        self.waves.get(wave).is_some_and(|held| held.wave.record.completed)
+        self.waves.get(wave).is_some_and(|active| active.wave.record.completed)
     }
 
-    pub(super) async fn drive(&mut self, name: &WaveName) {
+    pub(super) async fn advance_wave(&mut self, name: &WaveName) {
         let now = self.node.now();
-        let Some(held) = self.waves.get_mut(name) else {
+        let Some(active) = self.waves.get_mut(name) else {
             return;
         };
-        let step = held.wave.next(&self.machines, now);
+        let step = active.wave.next(&self.platform_hosts, now);
         let mut changed = !step.gone.is_empty();
         for host in &step.gone {
-            held.wave.begun(host);
+            active.wave.begun(host);
         }
         changed |= self.take_hosts(name, step.vacate).await;
-        let done = self.waves.get(name).is_some_and(|held| held.wave.is_done());
+        let done = self.waves.get(name).is_some_and(|active| active.wave.is_done());
         if changed || done {
             self.save(name).await;
         }
     }
 
-    /// Empties hosts and orders them down as far as that may be; tells whether the maintenance of any
-    /// has begun.
+    /// Drains hosts and orders the maintenance of those that may be taken; returns whether the
+    /// maintenance of any host has begun.
     async fn take_hosts(&mut self, name: &WaveName, hosts: Vec<HostId>) -> bool {
-        let mut machines: Vec<PlatformHost> = Vec::new();
+        let mut candidates: Vec<PlatformHost> = Vec::new();
         for host in &hosts {
-            machines.extend(self.machines.get(host).cloned());
+            candidates.extend(self.platform_hosts.get(host).cloned());
         }
-        // A host whose worker ended after an order was taken down by it, most likely: the order is
+        // A host whose worker ended after an order was most likely taken down by it: the order is
         // repeated only for its answer.
         let now = self.node.now();
         let mode = |host: &HostId| {
-            let held = self.waves.get(name);
-            held.map_or(DrainMode::Graceful, |held| held.wave.mode(host, now))
+            let active = self.waves.get(name);
+            active.map_or(DrainMode::Graceful, |active| active.wave.mode(host, now))
         };
-        let vacancies = join_all(machines.iter().map(|machine| async {
-            if self.restarted.contains(&machine.host) {
+        let drain_statuses = join_all(candidates.iter().map(|platform_host| async {
+            if self.ended_hosts.contains(&platform_host.host) {
                 DrainProgress::Empty
             } else {
-                self.progress(machine, mode(&machine.host)).await
+                self.progress(platform_host, mode(&platform_host.host)).await
             }
         }))
         .await;
         let now = self.node.now();
-        let mut taken: Vec<Taken> = Vec::new();
-        for (machine, progress) in machines.into_iter().zip(vacancies) {
-            let Some(held) = self.waves.get_mut(name) else {
+        let mut ordered: Vec<OrderedHost> = Vec::new();
+        for (platform_host, progress) in candidates.into_iter().zip(drain_statuses) {
+            let Some(active) = self.waves.get_mut(name) else {
                 return false;
             };
-            if !held.wave.may_take(progress, &self.machines) {
-                if let Some(waited) = held.wave.note_held(&machine.host, now) {
+            if !active.wave.may_take(progress, &self.platform_hosts) {
+                if let Some(waited) = active.wave.note_held(&platform_host.host, now) {
                     emit(
                         Event::HostHeld,
                         format_args!(
                             "wave={name} host={} pool={} worker={:?} vacancy={progress:?} for={waited}ms",
-                            machine.host, machine.pool, machine.worker
+                            platform_host.host, platform_host.pool, platform_host.worker
                         ),
                     );
                 }
                 continue;
             }
-            held.wave.ordered(&machine.host, now);
-            let first = !self.ended_workers.is_open(&machine.host);
-            if let Some(worker) = machine.worker.filter(|_| first) {
-                let order = OpenOrder { pool: machine.pool, worker, maintenance: true };
-                self.ended_workers.ordered(&machine.host, order);
+            active.wave.ordered(&platform_host.host, now);
+            let first = !self.ended_workers.is_open(&platform_host.host);
+            if let Some(worker) = platform_host.worker.filter(|_| first) {
+                let order = OpenOrder { pool: platform_host.pool, worker, maintenance: true };
+                self.ended_workers.record_order(&platform_host.host, order);
             }
-            taken.push(Taken { host: machine.host, progress, first });
+            ordered.push(OrderedHost { host: platform_host.host, progress, first });
         }
         let Some(api) = self.node.services.hosts.clone() else {
             return false;
         };
         let permit_issuer = &self.permit_issuer;
-        let orders = taken.iter().map(|taken| async {
+        let orders = ordered.iter().map(|ordered_host| async {
             match permit_issuer.permit().await {
-                Some(permit) => api.maintain(permit, taken.host.clone(), name.clone()).await,
+                Some(permit) => api.maintain(permit, ordered_host.host.clone(), name.clone()).await,
                 None => Err(HostOrderError::NotDone("the lease is not confirmed".to_owned())),
             }
         });
         let results = join_all(orders).await;
         let mut begun = false;
-        for (taken, result) in taken.iter().zip(results) {
-            begun |= self.ordered(name, taken, result);
+        for (ordered_host, result) in ordered.iter().zip(results) {
+            begun |= self.handle_order_result(name, ordered_host, result);
         }
         begun
     }
 
-    /// Takes in what came of an order; tells whether the host's maintenance has begun.
-    fn ordered(
+    /// Processes the result of a maintenance order; returns whether the host's maintenance has
+    /// begun.
+    fn handle_order_result(
         &mut self,
         name: &WaveName,
-        taken: &Taken,
+        ordered_host: &OrderedHost,
         result: Result<(), HostOrderError>,
     ) -> bool {
-        let Taken { host, progress, first } = taken;
+        let OrderedHost { host, progress, first } = ordered_host;
         emit(
             Event::HostOrdered,
             format_args!(
@@ -186,13 +188,13 @@
                 self.token
             ),
         );
-        let Some(held) = self.waves.get_mut(name) else {
+        let Some(active) = self.waves.get_mut(name) else {
             return false;
         };
         match result {
             Ok(()) | Err(HostOrderError::Unknown | HostOrderError::Foreign) => {
-                held.wave.begun(host);
-                self.restarted.remove(host);
+                active.wave.begun(host);
+                self.ended_hosts.remove(host);
                 true
             }
             Err(HostOrderError::Fenced) => {
@@ -200,55 +202,55 @@
                 false
             }
             Err(HostOrderError::Busy | HostOrderError::NotDone(_)) => {
-                held.wave.not_taken(host);
+                active.wave.not_taken(host);
                 if *first {
-                    self.ended_workers.withdrawn(host);
+                    self.ended_workers.withdraw_order(host);
                 }
                 false
             }
-            // The order may have had effect; it is repeated, and then it says so.
+            // The order may have had effect; it is repeated, and the answer then shows that.
             Err(HostOrderError::Lost(_)) => false,
         }
     }
 
-    async fn progress(&self, machine: &PlatformHost, mode: DrainMode) -> DrainProgress {
-        let Some(worker) = &machine.worker else {
+    async fn progress(&self, platform_host: &PlatformHost, mode: DrainMode) -> DrainProgress {
+        let Some(worker) = &platform_host.worker else {
             return DrainProgress::Empty;
         };
         let request = PoolRequest::DrainWorker(worker.clone(), mode);
-        match call_pool_owner(&self.node, &machine.pool, request).await {
+        match call_pool_owner(&self.node, &platform_host.pool, request).await {
             Some(PeerReply::DrainStatus(progress)) => progress,
-            // Without the pool's owner nobody knows what is there.
+            // Without the pool's owner it is unknown what runs there.
             _ => DrainProgress::Protected,
         }
     }
 
-    /// Records a wave and tells operators how far it is.
+    /// Records a wave, and its status for operators.
     async fn save(&mut self, wave: &WaveName) {
-        let Some(held) = self.waves.get_mut(wave) else {
+        let Some(active) = self.waves.get_mut(wave) else {
             return;
         };
-        let done = held.wave.is_done();
-        let record = WaveRecord { completed: done, ..held.wave.record.clone() };
+        let done = active.wave.is_done();
+        let record = WaveRecord { completed: done, ..active.wave.record.clone() };
         let key = wave_key(wave);
         let txn = Txn::new()
             .with_check(lease_key(&name()), Some(self.token))
-            .with_check(key.clone(), held.revision)
+            .with_check(key.clone(), active.revision)
             .with_write(key.clone(), value(&record));
         let result = self.node.services.store.commit(txn).await;
         self.node.record_store_result(&result);
         match result {
             Ok(Commit::Done(revision)) => {
-                held.revision = Some(revision);
-                if self.tell(wave, done).await {
-                    self.finish(wave, done);
+                active.revision = Some(revision);
+                if self.write_status(wave, done).await {
+                    self.finish_wave(wave, done);
                 }
             }
             Ok(Commit::Conflict(conflicts)) => {
                 for conflict in conflicts {
                     let found = conflict.row.map(|row| row.revision);
                     if conflict.key == key {
-                        held.revision = found;
+                        active.revision = found;
                     } else {
                         self.fenced = true;
                     }
@@ -258,18 +260,18 @@
         }
     }
 
-    fn finish(&mut self, wave: &WaveName, done: bool) {
+    fn finish_wave(&mut self, wave: &WaveName, done: bool) {
         if !done {
             return;
         }
         emit(Event::WaveChanged, format_args!("wave={wave} completed"));
-        if let Some(held) = self.waves.get_mut(wave) {
-            held.wave.record.completed = true;
+        if let Some(active) = self.waves.get_mut(wave) {
+            active.wave.record.completed = true;
         }
         self.node.view().waves.remove(wave);
     }
 
-    async fn tell(&self, wave: &WaveName, done: bool) -> bool {
+    async fn write_status(&self, wave: &WaveName, done: bool) -> bool {
         let write = self.node.services.row_format.wave_status(wave, done);
         let mut txn = Txn::new();
         txn.writes.push(write);
--- a/reachhead_node/src/frontend.rs
+++ b/reachhead_node/src/frontend.rs
@@ -1,4 +1,5 @@
-//! Answering callers: any process takes any call, and asks the owner of the queue's pool.
+//! Answers the calls of customers: any process takes any call, and asks the owner of the queue's
+//! pool.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,44 +27,44 @@
     peer::{AcceptedJob, PeerReply, PeerRequest, PoolRequest, call_local_owner},
 };
 
-/// Longest wait for an owner's answer about one job; the store can answer too.
-const OWNER_TIME: Duration = Duration::from_millis(700);
+/// Timeout of an owner's answer about one job; the store can answer too.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause between tries to reach an owner.
-const OWNER_PAUSE: Duration = Duration::from_millis(150);
+/// Pause between attempts to reach an owner.
+const OWNER_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Part of a caller's time that is left unused, so that the answer arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
 
-/// How long ago the store must have answered for a process to be ready.
-const STORE_AGE: Millis = Millis(3000);
+/// Maximum age of the last contact with the store for the process to be ready.
+const MAX_STORE_AGE: Millis = Millis(3000);
 
-/// The frontend of a process.
+/// The frontend of the process.
 pub struct NodeFrontend(pub Arc<Node>);
 
 impl NodeFrontend {
-    async fn state(&self, pool: &PoolName, id: JobId, by: Option<CustomerName>) -> Answer {
-        match self.ask(pool, PoolRequest::State(id, by.clone())).await {
+    async fn state(&self, pool: &PoolName, id: JobId, requester: Option<CustomerName>) -> Answer {
+        match self.call_owner(pool, PoolRequest::State(id, requester.clone())).await {
             Some(PeerReply::State(StateReply::Known(state))) => return Answer::State(state),
             Some(PeerReply::State(StateReply::Foreign)) => return Answer::Gone,
             _ => {}
         }
-        match self.stored_state(pool, id, by.as_ref()).await {
+        match self.stored_state(pool, id, requester.as_ref()).await {
             Ok(StateReply::Known(state)) => Answer::State(state),
             Ok(StateReply::Unknown | StateReply::Foreign) => Answer::Gone,
             Err(error) => {
-                log::info!("job={id} neither the owner nor the store can be asked: {error}");
+                log::info!("job={id} neither the owner nor the store can be reached: {error}");
                 Answer::Refused(ErrorKind::JobUnreachable)
             }
         }
     }
 
-    /// Returns a job's state by the store alone.
+    /// Reads a job's state from the store.
     async fn stored_state(
         &self,
         pool: &PoolName,
         id: JobId,
-        by: Option<&CustomerName>,
+        requester: Option<&CustomerName>,
     ) -> Result<StateReply, StoreError> {
         // The job's row is read before the final one, which replaces it in one transaction.
         let keys = vec![job_key(pool, id), final_key(pool, id), progress_key(pool, id)];
@@ -75,46 +76,48 @@
         if let Some(row) = ended {
             let record = row.parse::<FinalRecord>()?;
             let state = JobState::Over(record.ending);
-            return Ok(shown(state, record.customer.as_ref(), by));
+            return Ok(visible_state(state, record.customer.as_ref(), requester));
         }
         let Some(row) = job else {
             return Ok(StateReply::Unknown);
         };
         let state = if progress.is_some() { JobState::Running } else { JobState::Queued };
-        Ok(shown(state, row.parse::<JobRecord>()?.customer.as_ref(), by))
+        Ok(visible_state(state, row.parse::<JobRecord>()?.customer.as_ref(), requester))
     }
 
     async fn cancel(
         &self,
         pool: &PoolName,
         id: JobId,
-        by: Option<CustomerName>,
+        requester: Option<CustomerName>,
         until: Instant,
     ) -> Answer {
         loop {
-            match self.ask(pool, PoolRequest::Cancel(id, by.clone())).await {
+            match self.call_owner(pool, PoolRequest::Cancel(id, requester.clone())).await {
                 Some(PeerReply::Cancel(CancelReply::Ended)) => return Answer::Cancelled,
                 Some(PeerReply::Cancel(CancelReply::Foreign)) => return Answer::Gone,
                 Some(PeerReply::Cancel(CancelReply::Unknown)) => {
-                    if let Some(answer) = self.introduce(pool, id, by.as_ref()).await {
+                    if let Some(answer) = self.submit_stored_job(pool, id, requester.as_ref()).await
+                    {
                         return answer;
                     }
                 }
                 _ => {}
             }
-            if Instant::now() + OWNER_PAUSE >= until {
+            if Instant::now() + OWNER_RETRY_PAUSE >= until {
                 return Answer::Refused(ErrorKind::JobUnreachable);
             }
-            time::sleep(OWNER_PAUSE).await;
+            time::sleep(OWNER_RETRY_PAUSE).await;
         }
     }
 
-    /// Tells the owner of a stored job that it does not know; returns an answer if there is none.
-    async fn introduce(
+    /// Submits a stored job to its owner, which does not know it; returns an answer if the job has
+    /// ended or does not exist.
+    async fn submit_stored_job(
         &self,
         pool: &PoolName,
         id: JobId,
-        by: Option<&CustomerName>,
+        requester: Option<&CustomerName>,
     ) -> Option<Answer> {
         let keys = vec![job_key(pool, id), final_key(pool, id)];
         let rows = self.0.services.store.read(keys).await;
@@ -125,8 +128,8 @@
                 let job = rows.next().flatten();
                 if let Some(row) = rows.next().flatten() {
                     let record = row.parse::<FinalRecord>().ok();
-                    let foreign =
-                        record.is_some_and(|record| is_foreign(record.customer.as_ref(), by));
+                    let foreign = record
+                        .is_some_and(|record| is_foreign(record.customer.as_ref(), requester));
                     return Some(if foreign { Answer::Gone } else { Answer::Cancelled });
                 }
                 let Some(row) = job else {
@@ -135,36 +138,37 @@
                 match row.parse::<JobRecord>() {
                     Ok(record) => {
                         let job = AcceptedJob { id, record, row: row.revision };
-                        self.ask(pool, PoolRequest::Submit(vec![job])).await;
+                        self.call_owner(pool, PoolRequest::Submit(vec![job])).await;
                     }
                     Err(error) => emit(Event::RowRefused, error),
                 }
                 None
             }
             Err(error) => {
-                log::info!("job={id} the store can't be asked: {error}");
+                log::info!("job={id} the store can't be read: {error}");
                 None
             }
         }
     }
 
-    /// Asks the owner of a queue's pool until it answers or the caller's time is over. Nobody else knows which jobs have begun, and to
-    /// read all stored jobs instead would load the store by callers times jobs, most of all when owners are lost.
+    /// Asks the owner of a queue's pool until it answers or the caller's time is over. Only the
+    /// owner knows which jobs have started; reading all stored jobs instead would load the store by
+    /// callers times jobs, most of all when owners are lost.
     async fn waiting(&self, queue: &Queue, until: Instant) -> Answer {
         loop {
             let request = PoolRequest::Waiting(queue.name.clone());
-            if let Some(PeerReply::Waiting(count)) = self.ask(&queue.pool, request).await {
+            if let Some(PeerReply::Waiting(count)) = self.call_owner(&queue.pool, request).await {
                 return Answer::Waiting(count);
             }
-            if Instant::now() + OWNER_PAUSE >= until {
+            if Instant::now() + OWNER_RETRY_PAUSE >= until {
                 return Answer::Refused(ErrorKind::JobUnreachable);
             }
-            time::sleep(OWNER_PAUSE).await;
+            time::sleep(OWNER_RETRY_PAUSE).await;
         }
     }
 
-    /// Returns what this process knows that a refusal rests on, for the log.
-    fn grounds(&self, pool: &PoolName) -> String {
+    /// Returns the state that a refusal is based on, for the log.
+    fn refusal_context(&self, pool: &PoolName) -> String {
         let now = self.0.now();
         let view = self.0.view();
         let owner = view.owner(pool).map(|(owner, _)| owner);
@@ -179,7 +183,7 @@
         )
     }
 
-    async fn ask(&self, pool: &PoolName, request: PoolRequest) -> Option<PeerReply> {
+    async fn call_owner(&self, pool: &PoolName, request: PoolRequest) -> Option<PeerReply> {
         call_pool_owner(&self.0, pool, request).await
     }
 
@@ -200,16 +204,17 @@
     }
 }
 
-/// Returns what customer `by` is told of a job of `customer`.
-fn shown(
+/// Returns the job's state if `requester` may see it.
+fn visible_state(
     state: JobState,
     customer: Option<&CustomerName>,
-    by: Option<&CustomerName>,
+    requester: Option<&CustomerName>,
 ) -> StateReply {
-    if is_foreign(customer, by) { StateReply::Foreign } else { StateReply::Known(state) }
+    if is_foreign(customer, requester) { StateReply::Foreign } else { StateReply::Known(state) }
 }
 
-/// Asks the owner of a pool, here or at a peer; `None` if it can't be asked.
+/// Sends a request to the owner of a pool, in this process or at a peer; returns `None` if the
+/// owner can't be reached.
 pub async fn call_pool_owner(
     node: &Node,
     pool: &PoolName,
@@ -223,17 +228,17 @@
     if owner == node.settings.node {
         return None;
     }
-    match node.peers.call(address, &PeerRequest::Pool(pool.clone(), request), OWNER_TIME).await {
+    match node.peers.call(address, &PeerRequest::Pool(pool.clone(), request), OWNER_TIMEOUT).await {
         Ok(PeerReply::NotOwner) => None,
         Ok(reply) => Some(reply),
         Err(error) => {
-            log::info!("pool={pool} owner={owner} does not answer: {error}");
+            log::info!("pool={pool} owner={owner} did not answer: {error}");
             None
         }
     }
 }
 
-fn name_of(kind: &CallKind) -> &'static str {
+fn call_name(kind: &CallKind) -> &'static str {
     match kind {
         CallKind::Submit(..) => "submit",
         CallKind::State(_) => "state",
@@ -255,7 +260,7 @@
     fn call(&self, call: Call) -> BoxFuture<'_, Answer> {
         async move {
             let started = Instant::now();
-            let name = name_of(&call.kind);
+            let name = call_name(&call.kind);
             let queue = &call.admission.queue;
             let (queue, pool) = (queue.name.clone(), queue.pool.clone());
             let id = match &call.kind {
@@ -270,7 +275,7 @@
                     Event::CallRefused,
                     format_args!(
                         "job={job} call={name} queue={queue} kind={kind} after={ms}ms {}",
-                        self.grounds(&pool)
+                        self.refusal_context(&pool)
                     ),
                 );
             }
@@ -291,9 +296,9 @@
 
     fn is_ready(&self) -> bool {
         let view = self.0.view();
-        let store_reachable = self.0.now().since(view.store_answered_at) <= STORE_AGE;
-        // Without a peer it could serve nobody once the store turns it away.
-        let accompanied = !view.members.is_empty();
-        view.config.is_some() && store_reachable && accompanied && !self.0.is_stopping()
+        let store_reachable = self.0.now().since(view.store_answered_at) <= MAX_STORE_AGE;
+        // Without a member it could serve no caller once the store rejects it.
+        let has_members = !view.members.is_empty();
+        view.config.is_some() && store_reachable && has_members && !self.0.is_stopping()
     }
 }
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -208,7 +208,7 @@
     tokio::spawn(failure_detector::run(Arc::clone(node)));
     tokio::spawn(registry::run(Arc::clone(node)));
     tokio::spawn(handover::run(Arc::clone(node)));
-    tokio::spawn(admission::keep_current(Arc::clone(node)));
+    tokio::spawn(admission::keep_config_current(Arc::clone(node)));
 }
 
 /// Reads the settings file again and logs whether it changed. A running process can't apply
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -116,7 +116,7 @@
     let owns_hosts = node.owned().contains_key(&hosts) || node.loading().contains_key(&hosts);
     owns_hosts
         || !relay::allows_relayed_age(node)
-        || !fleet::is_wanted(node)
+        || !fleet::is_needed(node)
         || node.now() < *locked(&node.registry.direct_until)
 }
 
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, time};
 
 use crate::{
-    admission::config_age,
+    admission::max_config_age,
     follow::LEASE_TABLE,
     lock::locked,
     node::Node,
@@ -148,7 +148,7 @@
 
 /// Returns whether the configured limits allow state as old as relayed state gets.
 pub fn allows_relayed_age(node: &Node) -> bool {
-    MAX_RELAYED_AGE <= config_age(node)
+    MAX_RELAYED_AGE <= max_config_age(node)
 }
 
 /// Returns whether this process reads tables from members instead of the store: it owns nothing,
