--- a/reachhead_node/src/election.rs
+++ b/reachhead_node/src/election.rs
@@ -37,7 +37,7 @@
 const MAX_STORE_AGE: Millis = Millis(1600);
 
 /// Gap between two checks from which this process counts as delayed itself.
-const LATE_GAP: Millis = Millis(250);
+const DELAYED_CHECK_GAP: Millis = Millis(250);
 
 /// How long a process waits after its start before it takes pools, so that the processes learn of
 /// each other.
@@ -106,7 +106,7 @@
 impl Election {
     fn check_pools(&mut self) {
         let now = self.node.now();
-        if now.since(std::mem::replace(&mut self.last, now)) >= LATE_GAP {
+        if now.since(std::mem::replace(&mut self.last, now)) >= DELAYED_CHECK_GAP {
             self.last_delayed = now;
         }
         if !self.node.view().is_watching_owners(&self.node.settings.node, now) {
@@ -273,7 +273,10 @@
     let recovered = load(&node, &pool, lease.revision, order_effect).await;
     node.loading().remove(&pool);
     let Some(mut recovered) = recovered else {
-        log::info!("pool={pool} token={} a newer owner has fenced this one", lease.revision);
+        log::info!(
+            "pool={pool} token={} takeover abandoned, the lease is lost or the process is stopping",
+            lease.revision
+        );
         return;
     };
     recovered.verified = lease_sent_at;
@@ -341,7 +344,7 @@
 async fn send_workers(node: Arc<Node>, pool: PoolName, handle: OwnerHandle) {
     let mut changed = node.workers_changed.subscribe();
     loop {
-        if node.local(&pool).is_none_or(|owner| owner.token != handle.token) {
+        if node.local_owner(&pool).is_none_or(|owner| owner.token != handle.token) {
             return;
         }
         let workers = {
--- a/reachhead_node/src/failure_detector.rs
+++ b/reachhead_node/src/failure_detector.rs
@@ -77,7 +77,7 @@
     now: Tick,
 ) -> BTreeMap<NodeName, SocketAddr> {
     let own = &node.settings.node;
-    let store_outage = node.outage().is_some();
+    let store_outage = node.store_outage().is_some();
     let view = node.view();
     let mut targets = BTreeMap::new();
     if view.is_watching_owners(own, now) || store_outage {
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -43,7 +43,7 @@
     // until its limits expire ends with its lease at the latest if it is not renewed.
     let effect = Millis(LEASE_TRUST_TIME.0 + LIMIT_EXPIRY.0 + with_drift(MAX_WORKER_LEASE).0);
     let mut ledger = Ledger::new(FencingToken(token.0), effect, node.now());
-    while node.local(&name()).is_some_and(|handle| handle.token == token) {
+    while node.local_owner(&name()).is_some_and(|handle| handle.token == token) {
         // An owner whose lease is older than this one must be known as the owner, see
         // `Owner::allot`.
         let knows_older_leases = node.view().leases_revision >= token;
--- a/reachhead_node/src/follow.rs
+++ b/reachhead_node/src/follow.rs
@@ -268,10 +268,10 @@
 impl Leases {
     fn take(&self, change: &Change, now: Tick) {
         match parse_lease_key(&change.row.key) {
-            Some(LeaseKey::Member(node)) => self.member(node, change),
+            Some(LeaseKey::Member(node)) => self.update_member(node, change),
             Some(LeaseKey::Pool(pool)) if !change.deleted => {
                 match change.row.parse::<LeaseRecord>() {
-                    Ok(record) => self.adopt(pool, record, change.row.revision, now),
+                    Ok(record) => self.update_lease(pool, record, change.row.revision, now),
                     Err(error) => emit(Event::RowRefused, error),
                 }
             }
@@ -281,7 +281,7 @@
 
     /// Stores a lease and logs a change of its owner, so that the logs of all processes show how
     /// long an ownership change took to reach them.
-    fn adopt(&self, pool: PoolName, record: LeaseRecord, revision: Revision, now: Tick) {
+    fn update_lease(&self, pool: PoolName, record: LeaseRecord, revision: Revision, now: Tick) {
         let owner = record.owner.clone();
         if self.0.view().update_lease(pool.clone(), record, revision, now) {
             let owner = owner.as_ref().map_or("nobody", NodeName::as_str);
@@ -295,7 +295,7 @@
         }
     }
 
-    fn member(&self, node: NodeName, change: &Change) {
+    fn update_member(&self, node: NodeName, change: &Change) {
         if change.deleted {
             self.0.view().members.remove(&node);
             return;
--- a/reachhead_node/src/frontend.rs
+++ b/reachhead_node/src/frontend.rs
@@ -220,7 +220,7 @@
     pool: &PoolName,
     request: PoolRequest,
 ) -> Option<PeerReply> {
-    if let Some(owner) = node.local(pool) {
+    if let Some(owner) = node.local_owner(pool) {
         return Some(call_local_owner(&owner, request).await)
             .filter(|reply| !matches!(reply, PeerReply::NotOwner));
     }
@@ -287,7 +287,7 @@
 
     fn retry_after(&self, kind: ErrorKind) -> Option<u32> {
         let base = kind.answer().retry_after?;
-        Some(backoff::retry_after(base, self.0.outage().unwrap_or_default()))
+        Some(backoff::retry_after(base, self.0.store_outage().unwrap_or_default()))
     }
 
     fn body_limit(&self) -> usize {
--- a/reachhead_node/src/handover.rs
+++ b/reachhead_node/src/handover.rs
@@ -89,16 +89,16 @@
     let view = node.view();
     let own = Candidate { node: &node.settings.node, strength: node.strength(), owned };
     let others = view.members.iter().filter(|(other, _)| **other != node.settings.node);
-    let mut found: Vec<(Candidate<'_>, SocketAddr)> = others
+    let mut candidates: Vec<(Candidate<'_>, SocketAddr)> = others
         .map(|(other, member)| (view.candidate(other, &member.record), member.record.address))
         .filter(|(candidate, _)| own.should_yield(candidate))
         .collect();
-    found.sort_by(|(a, _), (b, _)| a.compare(b));
+    candidates.sort_by(|(a, _), (b, _)| a.compare(b));
     let successor = |(candidate, address): (Candidate<'_>, SocketAddr)| Successor {
         node: candidate.node.clone(),
         address,
     };
-    found.into_iter().take(MAX_CANDIDATES).map(successor).collect()
+    candidates.into_iter().take(MAX_CANDIDATES).map(successor).collect()
 }
 
 /// Returns whether the process is alive, answers quickly and reaches the store.
--- a/reachhead_node/src/node.rs
+++ b/reachhead_node/src/node.rs
@@ -147,7 +147,7 @@
     }
 
     /// Returns the owner of a pool, if it runs in this process.
-    pub fn local(&self, pool: &PoolName) -> Option<OwnerHandle> {
+    pub fn local_owner(&self, pool: &PoolName) -> Option<OwnerHandle> {
         self.owned().get(pool).cloned()
     }
 
@@ -189,7 +189,7 @@
 
     /// Returns how long the store has been unavailable to this process, if it is: the last call
     /// failed, and the last answer is older than an idle process's polls explain.
-    pub fn outage(&self) -> Option<Millis> {
+    pub fn store_outage(&self) -> Option<Millis> {
         let view = self.view();
         let age = self.now().since(view.store_answered_at);
         (view.store_failing && age >= STORE_OUTAGE_AGE).then_some(age)
--- a/reachhead_node/src/owner/mod.rs
+++ b/reachhead_node/src/owner/mod.rs
@@ -46,10 +46,10 @@
 /// Maximum pause between two rounds while inputs wait.
 const MAX_ROUND_PAUSE: Duration = Duration::from_millis(25);
 
-/// Interval at which an idle loop checks the timers of an owner with jobs.
+/// Longest wait for an input of an owner with jobs, after which it checks its timers.
 const BUSY_TICK: Duration = Duration::from_millis(50);
 
-/// Interval at which an owner without jobs checks its timers.
+/// Longest wait for an input of an owner without jobs.
 const IDLE_TICK: Duration = Duration::from_millis(200);
 
 /// Minimum time between two transactions that no caller waits for. The platform charges for their
@@ -208,10 +208,10 @@
                     self.pool.submit(id, &record, row, now, wall);
                 }
             }
-            Input::State(id, by, reply) => {
-                let _ = reply.send(self.pool.state_for(id, by.as_ref()));
+            Input::State(id, requester, reply) => {
+                let _ = reply.send(self.pool.state_for(id, requester.as_ref()));
             }
-            Input::Cancel(id, by, reply) => self.cancel(id, by.as_ref(), reply),
+            Input::Cancel(id, requester, reply) => self.cancel(id, requester.as_ref(), reply),
             Input::Waiting(queue, reply) => {
                 let _ = reply.send(self.pool.waiting(&queue));
             }
@@ -265,10 +265,10 @@
     fn cancel(
         &mut self,
         job: JobId,
-        by: Option<&CustomerName>,
+        requester: Option<&CustomerName>,
         reply: oneshot::Sender<CancelReply>,
     ) {
-        match self.pool.cancel_for(job, by) {
+        match self.pool.cancel_for(job, requester) {
             Cancelled::Foreign => {
                 let _ = reply.send(CancelReply::Foreign);
             }
@@ -284,10 +284,10 @@
 
     /// Answers callers of cancellations whose job is recorded as ended.
     fn answer_cancels(&mut self) {
-        for place in (0..self.pending_cancels.len()).rev() {
-            let job = self.pending_cancels[place].job;
+        for index in (0..self.pending_cancels.len()).rev() {
+            let job = self.pending_cancels[index].job;
             if matches!(self.pool.state(job), Some(JobState::Over(_))) {
-                let pending = self.pending_cancels.swap_remove(place);
+                let pending = self.pending_cancels.swap_remove(index);
                 let _ = pending.reply.send(CancelReply::Ended);
                 emit(Event::JobCancelled, format_args!("pool={} job={job}", self.pool.name()));
             }
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -221,7 +221,7 @@
                 PeerReply::Workers(registry::serve(&self.0, request).await)
             }
             PeerRequest::Table(request) => PeerReply::Table(relay::serve(&self.0, request).await),
-            PeerRequest::Pool(pool, request) => match self.0.local(&pool) {
+            PeerRequest::Pool(pool, request) => match self.0.local_owner(&pool) {
                 Some(owner) => call_local_owner(&owner, request).await,
                 None => PeerReply::NotOwner,
             },
@@ -268,11 +268,11 @@
             owner.send(Input::WorkersDied(workers));
             PeerReply::Done
         }
-        PoolRequest::State(id, by) => {
-            reply_of(owner, |reply| Input::State(id, by, reply), PeerReply::State).await
+        PoolRequest::State(id, requester) => {
+            reply_of(owner, |reply| Input::State(id, requester, reply), PeerReply::State).await
         }
-        PoolRequest::Cancel(id, by) => {
-            reply_of(owner, |reply| Input::Cancel(id, by, reply), PeerReply::Cancel).await
+        PoolRequest::Cancel(id, requester) => {
+            reply_of(owner, |reply| Input::Cancel(id, requester, reply), PeerReply::Cancel).await
         }
         PoolRequest::Waiting(queue) => {
             reply_of(owner, |reply| Input::Waiting(queue, reply), PeerReply::Waiting).await
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -154,7 +154,7 @@
             Some(page) => {
                 known = Some((pools, page.position));
                 *locked(&node.registry.last_answer_at) = node.now();
-                apply(&node, page);
+                apply_page(&node, page);
                 time::sleep(POLL_PAUSE).await;
             }
             None => {
@@ -192,7 +192,7 @@
     }
 }
 
-fn apply(node: &Node, page: WorkersPage) {
+fn apply_page(node: &Node, page: WorkersPage) {
     {
         let mut view = node.view();
         if view.workers_loaded && !page.whole && page.changes.is_empty() {
@@ -227,7 +227,7 @@
         if !node.owned().contains_key(&fleet::name()) || !node.view().workers_loaded || !fresh {
             return None;
         }
-        let page = page(node, &request);
+        let page = build_page(node, &request);
         let held = now.since(received_at);
         if page.whole || !page.changes.is_empty() || held >= MAX_HOLD {
             return Some(page);
@@ -238,7 +238,7 @@
     }
 }
 
-fn page(node: &Node, request: &WorkersRequest) -> WorkersPage {
+fn build_page(node: &Node, request: &WorkersRequest) -> WorkersPage {
     let view = node.view();
     let log = locked(&node.registry.log);
     let position = Position { epoch: node.registry.epoch, version: log.version() };
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -215,7 +215,7 @@
     after: Option<Revision>,
     wait: Millis,
 ) -> Option<TableReply> {
-    let source = source(node)?;
+    let source = choose_member(node)?;
     let message = PeerRequest::Table(TableRequest { table: table.to_owned(), after, wait });
     let deadline = wait.duration() + ANSWER_TIMEOUT;
     let reply = match node.peers.call(source, &message, deadline).await {
@@ -233,7 +233,7 @@
 }
 
 /// Returns the member to request from, another one after each that failed.
-fn source(node: &Node) -> Option<SocketAddr> {
+fn choose_member(node: &Node) -> Option<SocketAddr> {
     let mut source = locked(&node.relay.source);
     if source.is_none() {
         let view = node.view();
@@ -304,7 +304,7 @@
     if node.owns_any() {
         return None;
     }
-    node.outage()?;
+    node.store_outage()?;
     match request_table(node, LEASE_TABLE, None, Millis(0)).await {
         Some(TableReply::Page { page, .. }) => Some(page),
         _ => None,
--- a/reachhead_node/src/submit/mod.rs
+++ b/reachhead_node/src/submit/mod.rs
@@ -3,7 +3,7 @@
 //! A shard of the store commits transactions one after the other. When it is slow, single ones pile
 //! up until it refuses them; batches do not.
 
-mod peers;
+mod forwarding;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -34,8 +34,8 @@
     time::{self, Instant},
 };
 
-pub use self::peers::{StoreOutcome, store_for_peer};
-use self::peers::{forward, forward_or_refuse, reachable_owner};
+pub use self::forwarding::{StoreOutcome, store_for_peer};
+use self::forwarding::{forward, forward_or_refuse, reachable_owner};
 use crate::{
     frontend::call_pool_owner,
     node::Node,
@@ -227,7 +227,7 @@
 
 /// Commits one transaction; returns the undecided jobs.
 async fn store(node: &Arc<Node>, pool: &PoolName, batch: Vec<Submission>) -> Vec<Submission> {
-    if node.outage().is_some() && batch.iter().all(|submission| !submission.maybe_stored) {
+    if node.store_outage().is_some() && batch.iter().all(|submission| !submission.maybe_stored) {
         // Nothing is sent, so that no job is in doubt; polls of tables detect that the store is
         // back.
         return forward_or_refuse(node, pool, batch).await;
