--- a/reachhead_node/src/handover.rs
+++ b/reachhead_node/src/handover.rs
@@ -82,8 +82,8 @@
         .map(|(_, pool, handle)| (pool, handle))
 }
 
-/// Returns the processes that would have much more capacity left with one more pool than this one
-/// has, the best first.
+/// Returns the processes that would be loaded much less with one more pool than this one is now, the
+/// best first.
 fn successors(node: &Node) -> Vec<Successor> {
     let owned = node.owned().len();
     let view = node.view();
