--- a/reachhead_node/src/observe.rs
+++ b/reachhead_node/src/observe.rs
@@ -1,4 +1,4 @@
-//! Metrics, and the state of the process as its operators see it.
+//! Serves the metrics and the state of the process to its operators.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -13,7 +13,7 @@
 /// Media type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers operators.
+/// Handler of the operators' port.
 pub struct ObserveHandler {
     node: Arc<Node>,
     registry: Mutex<Registry>,
@@ -49,9 +49,9 @@
         json!({
             "node": self.node.settings.node,
             "configuration": view.config.as_ref().map(|config| config.version),
-            "configuration_age_ms": now.since(view.config_seen),
-            "leases_age_ms": now.since(view.leases_seen),
-            "store_age_ms": now.since(view.store_seen),
+            "configuration_age_ms": now.since(view.config_current_at),
+            "leases_age_ms": now.since(view.leases_current_at),
+            "store_age_ms": now.since(view.store_answered_at),
             "owned": owned,
             "leases": leases,
             "members": view.members.len(),
