--- a/reachhead_admin/src/api/waves.rs
+++ b/reachhead_admin/src/api/waves.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, StatusCode};
 use reachhead_ops::http::{self, WholeResponse};
 use reachhead_pool::{
-    budget::{Budgets, Loads},
+    budget::{Budgets, MinionPlacements},
     host,
 };
 use reachhead_store::{
@@ -60,7 +60,7 @@
 
 /// What is known of the hosts beside their rows.
 struct Context {
-    loads: Loads,
+    loads: MinionPlacements,
     budgets: Budgets,
     gone: BTreeSet<HostId>,
 }
@@ -158,7 +158,7 @@
         let budgets = hosts::budgets(&*self.store, services).await?;
         let list = self.lister.list(Revision(0)).await?;
         Ok(Context {
-            loads: Loads::new(&reader.fleet),
+            loads: MinionPlacements::new(&reader.fleet),
             budgets: budgets.into_iter().map(|budget| (budget.service, budget.row)).collect(),
             gone: list.map(|list| LeavingHosts::from(&list).hosts).unwrap_or_default(),
         })
@@ -193,9 +193,10 @@
         match host.row.phase {
             HostPhase::Serving if !host::is_due(&host.row, wave) => None,
             HostPhase::Serving if !status.is_up => Some("the host is down".to_owned()),
-            HostPhase::Serving => {
-                self.loads.hold(&host.id, &self.budgets, &self.gone).map(|hold| hold.to_string())
-            }
+            HostPhase::Serving => self
+                .loads
+                .drain_blocker(&host.id, &self.budgets, &self.gone)
+                .map(|blocker| blocker.to_string()),
             HostPhase::Draining if status.running > 0 => {
                 Some(format!("{} tasks or requests still run", status.running))
             }
--- a/reachhead_bench/src/waves.rs
+++ b/reachhead_bench/src/waves.rs
@@ -8,7 +8,7 @@
 
 use rand::{SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use reachhead_plan::pool::{Pool, TaskId};
-use reachhead_pool::budget::{Budgets, Loads};
+use reachhead_pool::budget::{Budgets, MinionPlacements};
 use reachhead_types::{
     fleet::{Fleet, RowKey},
     id::{HostId, ServiceName},
@@ -68,7 +68,7 @@
 struct Site {
     hosts: Vec<HostId>,
     services: Vec<ServiceName>,
-    loads: Loads,
+    loads: MinionPlacements,
     minions: BTreeMap<ServiceName, BTreeSet<HostId>>,
 }
 
@@ -96,7 +96,7 @@
     Site {
         hosts: (0..hosts).map(|index| parse(&host(index))).collect(),
         services: minions.keys().cloned().collect(),
-        loads: Loads::new(&fleet),
+        loads: MinionPlacements::new(&fleet),
         minions,
     }
 }
@@ -115,7 +115,7 @@
         let undone: BTreeSet<HostId> = left.iter().cloned().collect();
         left.sort_by_cached_key(|host| Reverse(site.loads.priority(host, &undone)));
         left.retain(|host| {
-            let is_held = site.loads.hold(host, &budgets, &BTreeSet::new()).is_some();
+            let is_held = site.loads.drain_blocker(host, &budgets, &BTreeSet::new()).is_some();
             if !is_held {
                 for service in site.loads.services_on(host) {
                     budgets.entry(service.clone()).or_default().held.insert(host.clone());
--- a/reachhead_control/src/pools.rs
+++ b/reachhead_control/src/pools.rs
@@ -10,7 +10,7 @@
     runtime,
 };
 use reachhead_pool::{
-    budget::Loads,
+    budget::MinionPlacements,
     controller::{Controller, ControllerLimits, PoolEvent},
 };
 use reachhead_store::{Store, platform::Platform};
@@ -33,7 +33,7 @@
     round: Duration,
     /// The version that `loads` belongs to.
     version: Version,
-    loads: Arc<Loads>,
+    loads: Arc<MinionPlacements>,
 }
 
 impl PoolRounds {
@@ -46,9 +46,9 @@
     ) -> Self {
         let limits = ControllerLimits {
             drain: settings.drain.duration(),
-            hand_over: settings.hand_over.duration(),
-            confirm: settings.confirm.duration(),
-            batch: settings.batch.get() as usize,
+            hand_over_timeout: settings.hand_over.duration(),
+            overspend_confirmation: settings.confirm.duration(),
+            max_wave_hosts: settings.batch.get() as usize,
         };
         let controller = Controller::new(store, platform, limits);
         let round = Duration::from_millis(settings.round.get());
@@ -65,11 +65,11 @@
             }
             self.work().await;
         }
-        self.controller.leave().await;
+        self.controller.release_all().await;
     }
 
     fn pause(&self) -> Duration {
-        match self.controller.is_quiet() {
+        match self.controller.is_idle() {
             true => self.round * QUIET_ROUNDS,
             false => self.round,
         }
@@ -78,7 +78,7 @@
     async fn work(&mut self) {
         if let Some(fleet) = self.view.fleet_after(self.version) {
             self.version = fleet.version;
-            self.loads = Arc::new(Loads::new(&fleet));
+            self.loads = Arc::new(MinionPlacements::new(&fleet));
         }
         let input = self.view.input(Arc::clone(&self.loads));
         match self.controller.round(&input).await {
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -8,7 +8,7 @@
 use reachhead_link::message::{ListStamp, MemberList};
 use reachhead_ops::event::{Event, emit};
 use reachhead_pool::{
-    budget::Loads,
+    budget::MinionPlacements,
     controller::{PoolState, RoundInput},
     lease::Candidate,
 };
@@ -298,9 +298,9 @@
         Round { have, delta, list: state.members.stamp(), peers }
     }
 
-    /// Returns what looking after pools starts from; `loads` belong to the newest version that the
+    /// Returns what looking after pools starts from; `placements` belong to the newest version that the
     /// caller has.
-    pub fn input(&self, loads: Arc<Loads>) -> RoundInput {
+    pub fn input(&self, placements: Arc<MinionPlacements>) -> RoundInput {
         let own = self.own_member();
         let state = self.state();
         let list = state.members.members();
@@ -319,7 +319,7 @@
             candidates: list.iter().map(candidate).collect(),
             pools: pools.collect(),
             leaving: state.leaving.hosts.clone(),
-            loads,
+            placements,
         }
     }
 
--- a/reachhead_pool/src/budget.rs
+++ b/reachhead_pool/src/budget.rs
@@ -27,14 +27,14 @@
 
 /// Which services have minions on which hosts, by one version of the configuration.
 #[derive(Debug, Clone, Default)]
-pub struct Loads {
+pub struct MinionPlacements {
     services: BTreeMap<ServiceName, Load>,
     by_host: BTreeMap<HostId, BTreeSet<ServiceName>>,
 }
 
 /// What keeps a host from being drained.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Hold {
+pub struct DrainBlocker {
     /// The service whose budget would not hold.
     pub service: ServiceName,
     /// Its minions that would be away.
@@ -43,7 +43,7 @@
     pub limit: usize,
 }
 
-impl Display for Hold {
+impl Display for DrainBlocker {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let Self { service, away, limit } = self;
         write!(f, "budget of service {service}: {away} minions would be away, {limit} may be")
@@ -59,7 +59,7 @@
     sum: usize,
 }
 
-impl Loads {
+impl MinionPlacements {
     /// Returns the loads of `fleet`.
     pub fn new(fleet: &Fleet) -> Self {
         let mut loads = Self::default();
@@ -86,7 +86,7 @@
 
     /// Returns how many minions of `service` are away when the `held` hosts and those that are
     /// `gone` are.
-    pub fn away(
+    pub fn count_unavailable(
         &self,
         service: &ServiceName,
         held: &BTreeSet<HostId>,
@@ -106,13 +106,18 @@
 
     /// Returns what keeps `host` from being drained, with the budgets of its services as they are
     /// spent; a service whose budget is not among them keeps it too.
-    pub fn hold(&self, host: &HostId, budgets: &Budgets, gone: &BTreeSet<HostId>) -> Option<Hold> {
+    pub fn drain_blocker(
+        &self,
+        host: &HostId,
+        budgets: &Budgets,
+        gone: &BTreeSet<HostId>,
+    ) -> Option<DrainBlocker> {
         self.services_on(host).find_map(|service| {
             let limit = self.limit(service);
             let mut held = budgets.get(service)?.held.clone();
             held.insert(host.clone());
-            let away = self.away(service, &held, gone);
-            (away > limit).then(|| Hold { service: service.clone(), away, limit })
+            let away = self.count_unavailable(service, &held, gone);
+            (away > limit).then(|| DrainBlocker { service: service.clone(), away, limit })
         })
     }
 
@@ -137,7 +142,7 @@
 
     /// Returns by how many minions the budget of a service is overspent, those aside that come back
     /// with the `returning` hosts.
-    pub fn overspent(
+    pub fn overspent_by(
         &self,
         service: &ServiceName,
         row: &BudgetRow,
@@ -146,7 +151,7 @@
     ) -> usize {
         let held: BTreeSet<HostId> = row.held.difference(returning).cloned().collect();
         let gone: BTreeSet<HostId> = gone.difference(returning).cloned().collect();
-        self.away(service, &held, &gone).saturating_sub(self.limit(service))
+        self.count_unavailable(service, &held, &gone).saturating_sub(self.limit(service))
     }
 
     fn limit(&self, service: &ServiceName) -> usize {
--- a/reachhead_pool/src/controller/leases.rs
+++ b/reachhead_pool/src/controller/leases.rs
@@ -30,16 +30,16 @@
     ) -> Result<bool, StoreError> {
         let lease: Option<LeaseRow> = row.map(Row::parse).transpose()?;
         let is_overdue = self.is_overdue(pool);
-        let step = lease::step(own, pool, &input.candidates, lease.as_ref(), is_overdue);
+        let step = lease::next_step(own, pool, &input.candidates, lease.as_ref(), is_overdue);
         if step != LeaseStep::Wait {
             self.awaited.remove(pool);
         }
         match (step, row, lease) {
-            (LeaseStep::Hold, Some(row), Some(lease)) => {
+            (LeaseStep::Keep, Some(row), Some(lease)) => {
                 self.note_held(pool, row.revision, lease.epoch);
                 Ok(true)
             }
-            (LeaseStep::Take, row, lease) => {
+            (LeaseStep::Acquire, row, lease) => {
                 self.take(own, pool, row, lease.unwrap_or_default()).await
             }
             (LeaseStep::Release, Some(row), Some(lease)) => {
@@ -57,7 +57,7 @@
     /// Tells whether another host has had for too long what should be this host's.
     fn is_overdue(&mut self, pool: &PoolName) -> bool {
         let since = self.awaited.entry(pool.clone()).or_insert_with(BootInstant::now);
-        since.elapsed() >= self.limits.hand_over
+        since.elapsed() >= self.limits.hand_over_timeout
     }
 
     fn note_ended(&mut self, pool: &PoolName) {
--- a/reachhead_pool/src/controller/mod.rs
+++ b/reachhead_pool/src/controller/mod.rs
@@ -30,7 +30,7 @@
 use serde::Serialize;
 
 use crate::{
-    budget::Loads,
+    budget::MinionPlacements,
     host::Observation,
     lease::{self, Candidate},
 };
@@ -50,7 +50,7 @@
     /// The hosts that are leaving by the platform's list.
     pub leaving: BTreeSet<HostId>,
     /// Which services have minions on which hosts.
-    pub loads: Arc<Loads>,
+    pub placements: Arc<MinionPlacements>,
 }
 
 /// Something that operators should hear of.
@@ -105,11 +105,11 @@
     /// How long a host must be seen drained before it counts as empty.
     pub drain: Duration,
     /// How long an owner that is there may take to hand a pool over.
-    pub hand_over: Duration,
+    pub hand_over_timeout: Duration,
     /// How long a budget must be seen overspent before a drain is taken back: the host list lags.
-    pub confirm: Duration,
+    pub overspend_confirmation: Duration,
     /// Hosts of a pool that a wave has on their way at once, whatever the budgets allow.
-    pub batch: usize,
+    pub max_wave_hosts: usize,
 }
 
 /// Looks after the pools that fall to one entry host.
@@ -152,7 +152,7 @@
     }
 
     /// Tells whether no host of this host's pools is on its way.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.held.values().all(|held| held.moving().next().is_none())
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Hands over every pool, as a host does that is about to end.
-    pub async fn leave(&mut self) {
+    pub async fn release_all(&mut self) {
         for (pool, held) in std::mem::take(&mut self.held) {
             if let Err(error) = self.release(&pool, held.lease, held.epoch).await {
                 debug!("handing over {pool}: {error}");
@@ -184,7 +184,7 @@
             return Ok(());
         };
         let concerns = |pool: &&PoolName| {
-            let is_preferred = lease::preferred(pool, &input.candidates) == Some(own);
+            let is_preferred = lease::preferred_owner(pool, &input.candidates) == Some(own);
             is_preferred || self.held.contains_key(*pool)
         };
         let pools: Vec<PoolName> = input.pools.iter().filter(concerns).cloned().collect();
--- a/reachhead_pool/src/controller/steps.rs
+++ b/reachhead_pool/src/controller/steps.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    budget::{Budgets, Loads},
+    budget::{Budgets, MinionPlacements},
     controller::{Controller, Head, Held, PoolEvent, RoundInput, Tracked},
     host::{self, HostStep},
 };
@@ -29,7 +29,7 @@
 struct Round<'r> {
     pool: &'r PoolName,
     wave: Option<&'r WaveRow>,
-    loads: &'r Loads,
+    loads: &'r MinionPlacements,
     /// Hosts that are away as far as is known, planned or not.
     gone: BTreeSet<HostId>,
     /// Hosts that will be back without further ado.
@@ -72,11 +72,11 @@
             held.head = Some(head);
         }
         let in_transition = held.in_transition(&input.leaving);
-        let due = held.due(wave, &input.leaving, &input.loads);
+        let due = held.due(wave, &input.leaving, &input.placements);
         if in_transition.is_empty() && due.is_empty() {
             return Ok(());
         }
-        let services = held.services(&in_transition, &due, &input.loads);
+        let services = held.services(&in_transition, &due, &input.placements);
         let rows = hosts::budgets(&*self.store, services).await?;
         let statuses = match in_transition.is_empty() {
             true => Vec::new(),
@@ -85,7 +85,7 @@
         let mut round = Round {
             pool,
             wave,
-            loads: &input.loads,
+            loads: &input.placements,
             gone: input.leaving.clone(),
             returning: held.in_phase(HostPhase::Arriving),
             cache: BudgetCache { rows },
@@ -126,22 +126,22 @@
             return Ok(());
         };
         let is_overspent = round.is_overspent(&tracked.host.row);
-        let seen = tracked.observe(status, is_overspent, self.limits.confirm);
+        let seen = tracked.observe(status, is_overspent, self.limits.overspend_confirmation);
         let host = tracked.host.clone();
-        match host::step(&host.row, round.wave, &seen, self.limits.drain) {
-            HostStep::Wait | HostStep::Begin(_) => {}
+        match host::next_step(&host.row, round.wave, &seen, self.limits.drain) {
+            HostStep::Wait | HostStep::StartDrain(_) => {}
             HostStep::Drain => {
                 self.platform.drain(id.clone(), DrainTag::new(host.revision)).await?;
             }
             HostStep::Undrain(tag) => self.platform.undrain(id.clone(), tag).await?,
             HostStep::Reboot(tag, boots) => self.platform.reboot(id.clone(), tag, boots).await?,
-            HostStep::Enter(row) => {
+            HostStep::UpdateRow(row) => {
                 if row.phase == HostPhase::Arriving {
                     round.returning.insert(id.clone());
                 }
                 self.put(round.pool, &host, *row, Vec::new()).await?;
             }
-            HostStep::Finish => {
+            HostStep::ReturnToService => {
                 let budgets = round.give_back(&host);
                 let services = host.row.spent.clone();
                 let row = HostRow {
@@ -177,19 +177,19 @@
             let Some(host) = held.hosts.get(&id).map(|tracked| tracked.host.clone()) else {
                 continue;
             };
-            let wave = match host::begin(&host.row, round.wave) {
-                HostStep::Begin(wave) => wave,
+            let wave = match host::start_step(&host.row, round.wave) {
+                HostStep::StartDrain(wave) => wave,
                 // It is where operators want it already.
-                HostStep::Enter(row) => {
+                HostStep::UpdateRow(row) => {
                     self.put(round.pool, &host, *row, Vec::new()).await?;
                     continue;
                 }
                 _ => continue,
             };
-            if wave.is_some() && held.wave_count() >= self.limits.batch {
+            if wave.is_some() && held.wave_count() >= self.limits.max_wave_hosts {
                 continue;
             }
-            if round.loads.hold(&id, &round.cache.budgets(), &round.gone).is_none()
+            if round.loads.drain_blocker(&id, &round.cache.budgets(), &round.gone).is_none()
                 && !self.begin(round, &host, wave).await?
             {
                 // Someone else spent of the same budget; the next round reads it again.
@@ -248,8 +248,12 @@
     fn is_overspent(&self, row: &HostRow) -> bool {
         let is_overspent = |budget: &BudgetWrite| {
             row.spent.contains(&budget.service)
-                && self.loads.overspent(&budget.service, &budget.row, &self.gone, &self.returning)
-                    > 0
+                && self.loads.overspent_by(
+                    &budget.service,
+                    &budget.row,
+                    &self.gone,
+                    &self.returning,
+                ) > 0
         };
         row.phase == HostPhase::Draining && self.cache.rows.iter().any(is_overspent)
     }
@@ -295,7 +299,7 @@
         &self,
         wave: Option<&WaveRow>,
         leaving: &BTreeSet<HostId>,
-        loads: &Loads,
+        loads: &MinionPlacements,
     ) -> Vec<HostId> {
         let is_begun = |tracked: &&Tracked| {
             let row = &tracked.host.row;
@@ -308,7 +312,7 @@
             .values()
             .filter(|tracked| tracked.host.row.phase == HostPhase::Serving)
             .filter(|tracked| !leaving.contains(&tracked.host.id))
-            .filter(|tracked| host::begin(&tracked.host.row, wave) != HostStep::Wait)
+            .filter(|tracked| host::start_step(&tracked.host.row, wave) != HostStep::Wait)
             .collect();
         let left: BTreeSet<HostId> = due.iter().map(|tracked| tracked.host.id.clone()).collect();
         due.sort_by_cached_key(|tracked| {
@@ -334,7 +338,7 @@
         &self,
         in_transition: &[HostId],
         due: &[HostId],
-        loads: &Loads,
+        loads: &MinionPlacements,
     ) -> Vec<ServiceName> {
         let spent = in_transition.iter().filter_map(|id| self.hosts.get(id));
         let spent = spent.flat_map(|tracked| tracked.host.row.spent.iter());
--- a/reachhead_pool/src/host.rs
+++ b/reachhead_pool/src/host.rs
@@ -17,11 +17,11 @@
     /// Nothing now.
     Wait,
     /// Begin to drain it for a wave, or to be moved, if every budget allows it.
-    Begin(Option<WaveName>),
+    StartDrain(Option<WaveName>),
     /// Write another row: the host is somewhere else on its way.
-    Enter(Box<HostRow>),
+    UpdateRow(Box<HostRow>),
     /// Write that it serves again, and give its budgets back.
-    Finish,
+    ReturnToService,
     /// Ask the platform to drain it.
     Drain,
     /// Ask the platform to take the drain back.
@@ -46,7 +46,7 @@
 /// Returns the next step of a host of a pool with `wave`. It must be seen drained for `drain_time`
 /// before it counts as empty: entry hosts hear of the drain a little later, and requests there may
 /// still run.
-pub fn step(
+pub fn next_step(
     row: &HostRow,
     wave: Option<&WaveRow>,
     seen: &Observation,
@@ -58,19 +58,19 @@
     let own_drain = status.own_drain().cloned();
     match row.phase {
         // Serving under a drain: a former owner asked for it too late.
-        HostPhase::Serving => own_drain.map_or_else(|| begin(row, wave), HostStep::Undrain),
+        HostPhase::Serving => own_drain.map_or_else(|| start_step(row, wave), HostStep::Undrain),
         HostPhase::Draining if is_taken_back(row, wave, seen) => {
             enter(HostRow { phase: HostPhase::Arriving, wave: None, ..row.clone() })
         }
         HostPhase::Draining => drain(row, status, seen, drain_time),
         HostPhase::Rebooting => reboot(row, status, own_drain),
         HostPhase::Arriving if !status.is_up => HostStep::Wait,
-        HostPhase::Arriving => own_drain.map_or(HostStep::Finish, HostStep::Undrain),
+        HostPhase::Arriving => own_drain.map_or(HostStep::ReturnToService, HostStep::Undrain),
     }
 }
 
 fn enter(row: HostRow) -> HostStep {
-    HostStep::Enter(Box::new(row))
+    HostStep::UpdateRow(Box::new(row))
 }
 
 /// Returns the pool that a host should go to, if it is not there.
@@ -79,11 +79,11 @@
 }
 
 /// Returns how a host that serves sets out, if it should.
-pub fn begin(row: &HostRow, wave: Option<&WaveRow>) -> HostStep {
+pub fn start_step(row: &HostRow, wave: Option<&WaveRow>) -> HostStep {
     match (&row.want, wave) {
         (Some(want), _) if *want == row.pool => enter(HostRow { want: None, ..row.clone() }),
-        (Some(_), _) => HostStep::Begin(None),
-        (None, Some(wave)) if is_due(row, wave) => HostStep::Begin(Some(wave.name.clone())),
+        (Some(_), _) => HostStep::StartDrain(None),
+        (None, Some(wave)) if is_due(row, wave) => HostStep::StartDrain(Some(wave.name.clone())),
         (None, _) => HostStep::Wait,
     }
 }
--- a/reachhead_pool/src/lease.rs
+++ b/reachhead_pool/src/lease.rs
@@ -26,9 +26,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseStep {
     /// This host is in charge and stays so.
-    Hold,
+    Keep,
     /// Nobody is in charge, or whoever was is gone: take the lease.
-    Take,
+    Acquire,
     /// Another host is preferred and there: hand the pool over.
     Release,
     /// It is another host's business.
@@ -36,7 +36,7 @@
 }
 
 /// Returns the entry host that should be in charge of `pool`.
-pub fn preferred<'c>(pool: &PoolName, candidates: &'c [Candidate]) -> Option<&'c MemberId> {
+pub fn preferred_owner<'c>(pool: &PoolName, candidates: &'c [Candidate]) -> Option<&'c MemberId> {
     let present = candidates.iter().filter(|candidate| !candidate.is_silent);
     present.map(|candidate| &candidate.id).max_by_key(|id| (score(id, pool), *id))
 }
@@ -52,23 +52,23 @@
 ///
 /// `is_overdue` tells that another owner, though it is there, has not handed the pool over for too
 /// long: it may not know that the lease is its own, if it was taken by a write whose answer was lost.
-pub fn step(
+pub fn next_step(
     own: &MemberId,
     pool: &PoolName,
     candidates: &[Candidate],
     lease: Option<&LeaseRow>,
     is_overdue: bool,
 ) -> LeaseStep {
-    let preferred = preferred(pool, candidates);
+    let preferred = preferred_owner(pool, candidates);
     let owner = lease.and_then(|lease| lease.owner.as_ref());
     let is_there = |id: &MemberId| candidates.iter().any(|one| one.id == *id && !one.is_silent);
     match owner {
         Some(owner) if owner == own => match preferred {
             Some(preferred) if preferred != own => LeaseStep::Release,
-            _ => LeaseStep::Hold,
+            _ => LeaseStep::Keep,
         },
         Some(owner) if is_there(owner) && !is_overdue => LeaseStep::Wait,
-        _ if preferred == Some(own) => LeaseStep::Take,
+        _ if preferred == Some(own) => LeaseStep::Acquire,
         _ => LeaseStep::Wait,
     }
 }
--- a/reachhead_pool/tests/moves/main.rs
+++ b/reachhead_pool/tests/moves/main.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 
 use reachhead_pool::{
-    budget::Loads,
-    lease::{Candidate, preferred, score},
+    budget::MinionPlacements,
+    lease::{Candidate, preferred_owner, score},
 };
 use reachhead_property::{check, properties};
 use reachhead_store::keys;
@@ -40,7 +40,7 @@
 }
 
 /// Returns the loads of two services: one with a minion on each host, one with a minion on two of them.
-fn loads() -> Loads {
+fn loads() -> MinionPlacements {
     let mut rows = vec![
         ("group/top".to_owned(), json!({})),
         ("pool/p0".to_owned(), json!({ "group": "top" })),
@@ -58,7 +58,7 @@
     }
     let rows: BTreeMap<RowKey, Value> =
         rows.into_iter().map(|(key, value)| (key.parse().unwrap(), value)).collect();
-    Loads::new(&Fleet::from_rows(Version(1), &rows).unwrap())
+    MinionPlacements::new(&Fleet::from_rows(Version(1), &rows).unwrap())
 }
 
 /// Walks of random acts; two pools that spend the same budget at once are rare among them.
@@ -102,7 +102,7 @@
             .collect();
         let pools: Vec<PoolName> = (0..90).map(|number| format!("q{number}").parse().unwrap()).collect();
         let owners = |candidates: &[Candidate]| -> Vec<MemberId> {
-            pools.iter().map(|pool| preferred(pool, candidates).unwrap().clone()).collect()
+            pools.iter().map(|pool| preferred_owner(pool, candidates).unwrap().clone()).collect()
         };
         let before = owners(&candidates);
         let naive = pools.iter().map(|pool| {
--- a/reachhead_pool/tests/moves/site.rs
+++ b/reachhead_pool/tests/moves/site.rs
@@ -79,9 +79,9 @@
         let platform: Arc<dyn Platform> = Arc::<World>::clone(&self.world);
         let limits = ControllerLimits {
             drain: Duration::ZERO,
-            hand_over: Duration::ZERO,
-            confirm: Duration::ZERO,
-            batch: 3,
+            hand_over_timeout: Duration::ZERO,
+            overspend_confirmation: Duration::ZERO,
+            max_wave_hosts: 3,
         };
         let controller = Controller::new(store, platform, limits);
         Host { id, controller, input: RoundInput::default() }
@@ -101,7 +101,7 @@
             candidates,
             pools: (0..POOLS).map(pool).collect(),
             leaving,
-            loads: Arc::new(loads()),
+            placements: Arc::new(loads()),
         };
     }
 
--- a/reachhead_pool/tests/moves/world.rs
+++ b/reachhead_pool/tests/moves/world.rs
@@ -197,7 +197,7 @@
         for (service, budget) in self.budgets() {
             let spenders = rows.iter().filter(|(_, row)| row.spent.contains(&service));
             let spenders: BTreeSet<HostId> = spenders.map(|(id, _)| id.clone()).collect();
-            let away = loads.away(&service, &spenders, &BTreeSet::new());
+            let away = loads.count_unavailable(&service, &spenders, &BTreeSet::new());
             if away > LIMIT || budget.held != spenders {
                 let held = budget.held;
                 let text = format!("{service}: {away} away by {spenders:?}, held by {held:?}");
