--- a/reachhead_bench/src/plan.rs
+++ b/reachhead_bench/src/plan.rs
@@ -10,7 +10,7 @@
 use reachhead_plan::{
     amount::Amount,
     planner,
-    pool::{Action, Job, Placed, Plan, Pool, Spread, StopReason, TaskId, Worker},
+    pool::{Action, Job, PlacedTask, Plan, Pool, Spread, StopReason, TaskId, Worker},
     share::{self, Shares},
 };
 use reachhead_types::{
@@ -82,7 +82,7 @@
         let mut pool = pools[0].clone();
         let id = pool.workers.keys().next().cloned();
         if let Some(worker) = id.and_then(|id| pool.workers.get_mut(&id)) {
-            worker.is_open = false;
+            worker.is_schedulable = false;
         }
         planner::plan(&pool, &tree).actions.len()
     });
@@ -132,14 +132,14 @@
             zone: name(format!("z{}", index % 3)),
             rack: name(format!("r{}", index / 4)),
             capacity: Amount::new(16_000, 32 * 1024, own as u64),
-            is_open: true,
+            is_schedulable: true,
             is_due: false,
         };
         pool.workers.insert(name(format!("w{number}-{index}")), worker);
     }
     let capacity = capacity(&pool);
     let mut asked = Amount::default();
-    while asked.dominant(capacity) < demand {
+    while asked.dominant_share(capacity) < demand {
         let job = job(rng, size.groups, capacity.accelerators > 0);
         asked = asked.plus(job.size.times(job.tasks));
         pool.jobs.insert(name(format!("j{}", pool.jobs.len())), job);
@@ -199,8 +199,8 @@
         match action {
             Action::Start { task, worker } => {
                 settled.started += 1;
-                let order = pool.tasks.len() as u64;
-                let placed = Placed { worker: worker.clone(), order, is_stopping: false };
+                let sequence = pool.tasks.len() as u64;
+                let placed = PlacedTask { worker: worker.clone(), sequence, is_stopping: false };
                 pool.tasks.insert(task.clone(), placed);
             }
             Action::Stop { task, reason, .. } => {
@@ -224,7 +224,7 @@
                 break;
             };
             *room = room.minus(job.size);
-            let placed = Placed { worker: id.clone(), order: 0, is_stopping: false };
+            let placed = PlacedTask { worker: id.clone(), sequence: 0, is_stopping: false };
             pool.tasks.insert(TaskId { job: name.clone(), number }, placed);
         }
     }
@@ -241,12 +241,14 @@
             pool.tasks.keys().filter(|task| task.job == *name && task.number < job.tasks).count()
         });
         let all = used.values().fold(Amount::default(), |sum, used| sum.plus(*used));
-        filled += all.dominant(capacity) / pools.len() as f64;
+        filled += all.dominant_share(capacity) / pools.len() as f64;
         let asked = by_group(pool, |_, job| job.tasks as usize);
-        let demands: Shares =
-            asked.into_iter().map(|(group, asked)| (group, asked.dominant(capacity))).collect();
-        for (group, owed) in share::owed(tree, &demands, 1.0) {
-            let has = used.get(&group).copied().unwrap_or_default().dominant(capacity);
+        let demands: Shares = asked
+            .into_iter()
+            .map(|(group, asked)| (group, asked.dominant_share(capacity)))
+            .collect();
+        for (group, owed) in share::fair_shares(tree, &demands, 1.0) {
+            let has = used.get(&group).copied().unwrap_or_default().dominant_share(capacity);
             satisfied.push((has / owed).min(1.0));
         }
     }
--- a/reachhead_bench/src/waves.rs
+++ b/reachhead_bench/src/waves.rs
@@ -207,6 +207,6 @@
 
 fn set_open(pool: &mut Pool, host: &HostId, is_open: bool) {
     if let Some(worker) = pool.workers.get_mut(host) {
-        worker.is_open = is_open;
+        worker.is_schedulable = is_open;
     }
 }
--- a/reachhead_jobs/src/customer.rs
+++ b/reachhead_jobs/src/customer.rs
@@ -28,7 +28,7 @@
 
     /// Tells whether `used` is within the quota.
     pub fn allows(self, used: Amount) -> bool {
-        used.only(self.0).fits(self.0)
+        used.masked_by(self.0).fits(self.0)
     }
 }
 
--- a/reachhead_jobs/src/quota/allowance.rs
+++ b/reachhead_jobs/src/quota/allowance.rs
@@ -36,9 +36,9 @@
     /// Returns what the ledger is told. What runs and waits changes with each task, so it is told in steps, rounded up: a
     /// customer's standing is told some times a second and not at each start.
     fn usage(self, limit: Amount, quota: Quota) -> CustomerUsage {
-        let rounded = self.used.stepped(quota.0, STEPS);
+        let rounded = self.used.round_up_to_steps(quota.0, STEPS);
         let used = if self.used.fits(limit) { rounded.least(limit) } else { rounded };
-        let wanted = self.wanted.stepped(quota.0, STEPS);
+        let wanted = self.wanted.round_up_to_steps(quota.0, STEPS);
         CustomerUsage { limit, used: used.max(self.used.least(limit)), wanted, next: self.next }
     }
 }
@@ -187,5 +187,5 @@
 
 /// Tells whether `amount` is within `limit` in every resource that the quota limits.
 fn within(quota: Quota, amount: Amount, limit: Amount) -> bool {
-    amount.only(quota.0).fits(limit)
+    amount.masked_by(quota.0).fits(limit)
 }
--- a/reachhead_jobs/src/quota/ledger.rs
+++ b/reachhead_jobs/src/quota/ledger.rs
@@ -33,7 +33,7 @@
 
 impl Book {
     fn held(&self, customer: &CustomerName, quota: Quota) -> Amount {
-        self.held.get(customer).copied().unwrap_or_default().only(quota.0)
+        self.held.get(customer).copied().unwrap_or_default().masked_by(quota.0)
     }
 
     /// Takes in what the owner stated in answer to this round.
@@ -180,7 +180,7 @@
             let raise = if alone { wanted.minus(held) } else { wanted.minus(held).least(free) };
             free = free.minus(raise);
             let stated = book.stated.get(customer).map(|usage| usage.limit);
-            let stated = stated.unwrap_or_default().only(quota.0);
+            let stated = stated.unwrap_or_default().masked_by(quota.0);
             // While more is held than a lowered quota has, no limit rises, not even to what the pool has running.
             let most = if all.fits(quota.0) || alone { held.plus(raise) } else { stated };
             let limit = wanted.least(most);
@@ -213,9 +213,9 @@
             let book = &self.books[pool];
             let usage = book.stated.get(customer).copied().unwrap_or_default();
             Claim {
-                used: usage.used.only(quota.0),
-                wanted: usage.wanted.only(quota.0),
-                next: usage.next.only(quota.0),
+                used: usage.used.masked_by(quota.0),
+                wanted: usage.wanted.masked_by(quota.0),
+                next: usage.next.masked_by(quota.0),
                 short: book.short.get(customer).copied(),
             }
         };
--- a/reachhead_jobs/src/quota/share.rs
+++ b/reachhead_jobs/src/quota/share.rs
@@ -25,7 +25,7 @@
     let sum = claims.iter().map(|claim| claim.used).fold(Amount::default(), Amount::plus);
     // Where more is in use than a lowered quota has, nothing that ends is replaced anywhere until that has passed.
     let kept = quota.0.plus(Amount::new(1, 1, 1)).minus(sum);
-    let mut shares: Vec<Amount> = claims.iter().map(|claim| claim.used.only(kept)).collect();
+    let mut shares: Vec<Amount> = claims.iter().map(|claim| claim.used.masked_by(kept)).collect();
     let left = give_tasks(&mut shares, claims, quota.0.minus(sum));
     let asked: Vec<Amount> = claims.iter().map(|claim| claim.used.plus(claim.wanted)).collect();
     let left = raise(&mut shares, &asked, left);
--- a/reachhead_plan/src/amount.rs
+++ b/reachhead_plan/src/amount.rs
@@ -61,7 +61,7 @@
 
     /// Returns this amount rounded up, each resource to a multiple of the `count`th part of `whole`, where it has any.
     #[must_use]
-    pub fn stepped(self, whole: Self, count: u64) -> Self {
+    pub fn round_up_to_steps(self, whole: Self, count: u64) -> Self {
         self.each(whole, |own, whole| match whole / count.max(1) {
             0 => own,
             step => own.div_ceil(step) * step,
@@ -70,7 +70,7 @@
 
     /// Returns this amount without the resources of which `wanted` has nothing.
     #[must_use]
-    pub fn only(self, wanted: Self) -> Self {
+    pub fn masked_by(self, wanted: Self) -> Self {
         self.each(wanted, |own, wanted| if wanted == 0 { 0 } else { own })
     }
 
@@ -88,9 +88,9 @@
             && self.accelerators <= room.accelerators
     }
 
-    /// Returns the largest part that this is of any resource of `capacity`: the dominant share. A
+    /// Returns the largest part that this is of any resource of `capacity`: the dominant_share share. A
     /// resource that the capacity lacks counts as all of it.
-    pub fn dominant(self, capacity: Self) -> f64 {
+    pub fn dominant_share(self, capacity: Self) -> f64 {
         let part = |own: u64, all: u64| match (own, all) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
--- a/reachhead_plan/src/room.rs
+++ b/reachhead_plan/src/capacity.rs
@@ -6,11 +6,11 @@
 
 use crate::{
     amount::Amount,
-    pool::{Hindrance, Job, Pool, Spread, Worker},
+    pool::{Job, PendingReason, Pool, Spread, Worker},
 };
 
 /// The workers with what is free on each.
-pub struct Rooms<'p> {
+pub struct WorkerCapacities<'p> {
     rooms: Vec<Room<'p>>,
     index: BTreeMap<&'p HostId, usize>,
     /// The tasks of each job by rack; racks are numbered, since every worker's is looked up for every
@@ -42,14 +42,14 @@
 
 /// Where a task could go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spot {
+pub enum Placement {
     /// There is room now.
     Now(usize),
     /// There will be room once something has stopped that was told to.
     Later(usize),
 }
 
-impl<'p> Rooms<'p> {
+impl<'p> WorkerCapacities<'p> {
     /// Returns the rooms of `pool`.
     pub fn new(pool: &'p Pool) -> Self {
         let mut rooms = Vec::with_capacity(pool.workers.len());
@@ -79,13 +79,13 @@
     }
 
     /// Returns the worker at an index.
-    pub fn id(&self, at: usize) -> &'p HostId {
+    pub fn worker_id(&self, at: usize) -> &'p HostId {
         self.rooms[at].id
     }
 
     /// Returns all indices of open workers.
-    pub fn open(&self) -> impl Iterator<Item = usize> {
-        (0..self.rooms.len()).filter(|&at| self.rooms[at].worker.is_open)
+    pub fn schedulable(&self) -> impl Iterator<Item = usize> {
+        (0..self.rooms.len()).filter(|&at| self.rooms[at].worker.is_schedulable)
     }
 
     /// Returns the index of a worker.
@@ -97,11 +97,11 @@
     pub fn shortage(&self, at: usize, job: &Job) -> Amount {
         let room = &self.rooms[at];
         // What a worker that has shrunk lacks of other resources is not this job's matter.
-        room.used_later.plus(job.size).minus(room.worker.capacity).only(job.size)
+        room.used_later.plus(job.size).minus(room.worker.capacity).masked_by(job.size)
     }
 
     /// Tells whether the spread of a job leaves a worker open to it.
-    pub fn is_apart(&self, at: usize, name: &JobName, job: &Job) -> bool {
+    pub fn satisfies_spread(&self, at: usize, name: &JobName, job: &Job) -> bool {
         let counts = self.racks.get(name).map(Vec::as_slice).unwrap_or_default();
         job.spread == Spread::Even || self.in_rack(at, counts) == 0
     }
@@ -122,11 +122,11 @@
     /// # Errors
     ///
     /// Says what is in the way.
-    pub fn best(&self, name: &JobName, job: &Job) -> Result<Spot, Hindrance> {
+    pub fn best_placement(&self, name: &JobName, job: &Job) -> Result<Placement, PendingReason> {
         let counts = self.racks.get(name).map(Vec::as_slice).unwrap_or_default();
         let mut is_apart_anywhere = false;
         let mut best: Option<Rank> = None;
-        for at in self.open() {
+        for at in self.schedulable() {
             let room = &self.rooms[at];
             if !job.size.fits(room.free_later()) {
                 continue;
@@ -142,7 +142,7 @@
                 is_due: room.worker.is_due,
                 wastes: job.size.accelerators == 0 && room.worker.capacity.accelerators > 0,
                 in_rack,
-                left: room.free_later().minus(job.size).dominant(room.worker.capacity),
+                left: room.free_later().minus(job.size).dominant_share(room.worker.capacity),
                 at,
             };
             if best.as_ref().is_none_or(|best| rank.is_before(best)) {
@@ -150,24 +150,26 @@
             }
         }
         match best {
-            Some(Rank { is_later: false, at, .. }) => Ok(Spot::Now(at)),
-            Some(Rank { at, .. }) => Ok(Spot::Later(at)),
-            None if is_apart_anywhere || job.spread == Spread::Even => Err(Hindrance::NoRoom),
+            Some(Rank { is_later: false, at, .. }) => Ok(Placement::Now(at)),
+            Some(Rank { at, .. }) => Ok(Placement::Later(at)),
+            None if is_apart_anywhere || job.spread == Spread::Even => {
+                Err(PendingReason::NoCapacity)
+            }
             None => Err(self.rack_hindrance(job)),
         }
     }
 
-    fn rack_hindrance(&self, job: &Job) -> Hindrance {
-        let has_room = self.open().any(|at| job.size.fits(self.rooms[at].free_later()));
-        if has_room { Hindrance::NoRack } else { Hindrance::NoRoom }
+    fn rack_hindrance(&self, job: &Job) -> PendingReason {
+        let has_room = self.schedulable().any(|at| job.size.fits(self.rooms[at].free_later()));
+        if has_room { PendingReason::NoFreeRack } else { PendingReason::NoCapacity }
     }
 
     /// Takes room for a task of `job`; it is gone for the rest of the plan.
-    pub fn take(&mut self, spot: Spot, name: &'p JobName, job: &Job) {
-        let (Spot::Now(at) | Spot::Later(at)) = spot;
+    pub fn take(&mut self, spot: Placement, name: &'p JobName, job: &Job) {
+        let (Placement::Now(at) | Placement::Later(at)) = spot;
         let room = &mut self.rooms[at];
         room.used_later = room.used_later.plus(job.size);
-        if spot == Spot::Now(at) {
+        if spot == Placement::Now(at) {
             room.used = room.used.plus(job.size);
         }
         let rack = room.rack;
@@ -175,7 +177,7 @@
     }
 
     /// Notes that a task on a worker was told to stop.
-    pub fn give_back(&mut self, worker: &HostId, size: Amount) {
+    pub fn release(&mut self, worker: &HostId, size: Amount) {
         if let Some(at) = self.find(worker) {
             let room = &mut self.rooms[at];
             room.used_later = room.used_later.minus(size);
--- a/reachhead_plan/src/estimate.rs
+++ b/reachhead_plan/src/estimate.rs
@@ -5,7 +5,7 @@
 use crate::amount::Amount;
 
 /// Reports that are kept of a job.
-pub const SAMPLE_LIMIT: usize = 64;
+pub const MAX_SAMPLES: usize = 64;
 
 /// Share of the reports that an estimate covers.
 const QUANTILE: f64 = 0.95;
@@ -29,8 +29,8 @@
     }
 
     /// Notes what a task was reported to use.
-    pub fn report(&mut self, used: Amount) {
-        if self.reports.len() == SAMPLE_LIMIT {
+    pub fn record(&mut self, used: Amount) {
+        if self.reports.len() == MAX_SAMPLES {
             self.reports.pop_front();
         }
         self.reports.push_back(used);
--- a/reachhead_plan/src/health.rs
+++ b/reachhead_plan/src/failures.rs
@@ -5,43 +5,43 @@
 use reachhead_types::id::{HostId, JobName};
 
 /// Different jobs that must fail on a worker, with no success between, before it is quarantined.
-pub const WORKER_LIMIT: usize = 3;
+pub const QUARANTINE_MIN_JOBS: usize = 3;
 
 /// Different workers on which a job must fail, with no success between, before it is stopped.
-pub const JOB_LIMIT: usize = 3;
+pub const FAILING_MIN_WORKERS: usize = 3;
 
 /// Results that are remembered of a worker or a job.
 const RESULT_LIMIT: usize = 32;
 
 /// The failures of every worker and job since its last success.
 #[derive(Debug, Clone, Default)]
-pub struct Health {
+pub struct FailureTracker {
     /// The jobs that failed on a worker since anything succeeded there.
     workers: BTreeMap<HostId, VecDeque<JobName>>,
     /// The workers on which a job failed since it succeeded anywhere.
     jobs: BTreeMap<JobName, VecDeque<HostId>>,
 }
 
-impl Health {
+impl FailureTracker {
     /// Returns the health of a fleet without failures.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Notes that a task of `job` did its work on `worker`.
-    pub fn succeed(&mut self, worker: &HostId, job: &JobName) {
+    pub fn record_success(&mut self, worker: &HostId, job: &JobName) {
         self.workers.remove(worker);
         self.jobs.remove(job);
     }
 
     /// Notes that a task of `job` failed on `worker`.
-    pub fn fail(&mut self, worker: &HostId, job: &JobName) {
+    pub fn record_failure(&mut self, worker: &HostId, job: &JobName) {
         remember(self.workers.entry(worker.clone()).or_default(), job);
         remember(self.jobs.entry(job.clone()).or_default(), worker);
     }
 
     /// Forgets what a worker did, as after a reboot.
-    pub fn forget(&mut self, worker: &HostId) {
+    pub fn forget_worker(&mut self, worker: &HostId) {
         self.workers.remove(worker);
     }
 
@@ -51,8 +51,8 @@
         let Some(failed) = self.workers.get(worker) else {
             return false;
         };
-        let innocent = |job: &&JobName| self.workers_of(job) < JOB_LIMIT;
-        failed.iter().filter(innocent).collect::<BTreeSet<_>>().len() >= WORKER_LIMIT
+        let innocent = |job: &&JobName| self.workers_of(job) < FAILING_MIN_WORKERS;
+        failed.iter().filter(innocent).collect::<BTreeSet<_>>().len() >= QUARANTINE_MIN_JOBS
     }
 
     /// Tells whether a job fails wherever it runs. Workers that fail everything don't count against
@@ -62,7 +62,7 @@
             return false;
         };
         let innocent = |worker: &&HostId| !self.is_quarantined(worker);
-        failed.iter().filter(innocent).collect::<BTreeSet<_>>().len() >= JOB_LIMIT
+        failed.iter().filter(innocent).collect::<BTreeSet<_>>().len() >= FAILING_MIN_WORKERS
     }
 
     fn workers_of(&self, job: &JobName) -> usize {
--- a/reachhead_plan/src/planner.rs
+++ b/reachhead_plan/src/planner.rs
@@ -17,8 +17,8 @@
 
 use crate::{
     amount::Amount,
-    pool::{Action, Ending, Hindrance, Job, Plan, Pool, StopReason, TaskId},
-    room::{Rooms, Spot},
+    capacity::{Placement, WorkerCapacities},
+    pool::{Action, Job, PendingReason, Plan, Pool, StopMode, StopReason, TaskId},
     share::{self, Shares},
 };
 
@@ -36,7 +36,7 @@
 /// A plan in the making.
 struct Planner<'p> {
     pool: &'p Pool,
-    rooms: Rooms<'p>,
+    rooms: WorkerCapacities<'p>,
     /// All that the pool's workers have, those that take nothing for now included: nobody is owed less
     /// because a wave is under way.
     capacity: Amount,
@@ -123,7 +123,7 @@
             pool.workers.values().fold(Amount::default(), |sum, worker| sum.plus(worker.capacity));
         let mut planner = Self {
             pool,
-            rooms: Rooms::new(pool),
+            rooms: WorkerCapacities::new(pool),
             capacity,
             used: BTreeMap::new(),
             firm: BTreeMap::new(),
@@ -135,7 +135,7 @@
         };
         planner.count_used();
         planner.find_pending();
-        planner.owed = share::owed(tree, &planner.demands(), 1.0);
+        planner.owed = share::fair_shares(tree, &planner.demands(), 1.0);
         planner
     }
 
@@ -161,8 +161,8 @@
         for (name, job) in &self.pool.jobs {
             let fits = |worker: &crate::pool::Worker| job.size.fits(worker.capacity);
             if !self.pool.workers.values().any(fits) {
-                let hindrance = Hindrance::TooLarge { asked: job.size, largest };
-                self.plan.hindered.insert(name.clone(), hindrance);
+                let hindrance = PendingReason::TooLarge { requested: job.size, largest };
+                self.plan.pending_reasons.insert(name.clone(), hindrance);
                 continue;
             }
             let has_place = |number: &u32| {
@@ -186,14 +186,14 @@
     fn demands(&self) -> Shares {
         let mut asked: BTreeMap<&GroupName, Amount> = BTreeMap::new();
         for (name, job) in &self.pool.jobs {
-            if self.plan.hindered.contains_key(name) {
+            if self.plan.pending_reasons.contains_key(name) {
                 continue;
             }
             let asked = asked.entry(&job.group).or_default();
             *asked = asked.plus(job.size.times(job.tasks));
         }
         let part = |(group, amount): (&&GroupName, &Amount)| {
-            ((*group).clone(), amount.dominant(self.capacity))
+            ((*group).clone(), amount.dominant_share(self.capacity))
         };
         asked.iter().map(part).collect()
     }
@@ -209,7 +209,7 @@
             if !is_wanted {
                 self.stop(task, StopReason::Cancelled);
             } else if !self.pool.workers.contains_key(&placed.worker) {
-                self.stop(task, StopReason::WorkerGone);
+                self.stop(task, StopReason::WorkerRemoved);
                 if let Some(job) = self.pool.jobs.get(&task.job) {
                     self.take_off(job);
                 }
@@ -221,14 +221,14 @@
         let job = self.pool.jobs.get(&task.job);
         if let Some(job) = job {
             let worker = &self.pool.tasks[task].worker;
-            self.rooms.give_back(worker, job.size);
+            self.rooms.release(worker, job.size);
         }
         // Where the work is wanted again later, what was done should not be lost.
-        let is_wanted = matches!(reason, StopReason::CalledBack | StopReason::Yielded);
+        let is_wanted = matches!(reason, StopReason::Reclaimed | StopReason::Preempted);
         let keeps = is_wanted && job.is_some_and(|job| job.has_checkpoint);
-        let ending = if keeps { Ending::Checkpoint } else { Ending::Stop };
+        let mode = if keeps { StopMode::Checkpoint } else { StopMode::Immediate };
         self.stopped.insert(task);
-        self.plan.actions.push(Action::Stop { task: task.clone(), reason, ending });
+        self.plan.actions.push(Action::Stop { task: task.clone(), reason, mode });
     }
 
     /// Gives every group what it is owed first, and lends what is left then: room that was called back
@@ -264,7 +264,8 @@
 
     /// Returns what a group has, measured by what it is owed.
     fn ratio(&self, group: &GroupName) -> f64 {
-        let part = self.used.get(group).map_or(0.0, |used| used.all().dominant(self.capacity));
+        let part =
+            self.used.get(group).map_or(0.0, |used| used.all().dominant_share(self.capacity));
         let owed = self.owed.get(group).copied().unwrap_or_default();
         part / owed.max(ROUNDING)
     }
@@ -277,13 +278,13 @@
         let (name, job) = (*name, *job);
         let spot = self
             .rooms
-            .best(name, job)
-            .or_else(|hindrance| self.call_back(name, job).map(Spot::Later).ok_or(hindrance));
+            .best_placement(name, job)
+            .or_else(|hindrance| self.call_back(name, job).map(Placement::Later).ok_or(hindrance));
         let spot = match spot {
             Ok(spot) => spot,
             Err(hindrance) => {
                 // The rest of the job needs the same room.
-                self.plan.hindered.insert(name.clone(), hindrance);
+                self.plan.pending_reasons.insert(name.clone(), hindrance);
                 self.drop_job(group, index);
                 return;
             }
@@ -297,10 +298,10 @@
         if pending.numbers.is_empty() {
             self.drop_job(group, index);
         }
-        if let (Spot::Now(at), Some(number)) = (spot, number) {
+        if let (Placement::Now(at), Some(number)) = (spot, number) {
             self.firm.entry(group).or_default().add(job);
             let task = TaskId { job: name.clone(), number };
-            let worker = self.rooms.id(at).clone();
+            let worker = self.rooms.worker_id(at).clone();
             self.plan.actions.push(Action::Start { task, worker });
         }
     }
@@ -323,7 +324,7 @@
     fn is_owed(&self, job: &Job) -> bool {
         let used = self.used.get(&job.group).copied().unwrap_or_default();
         let owed = self.owed.get(&job.group).copied().unwrap_or_default();
-        used.up_to(job.class).plus(job.size).dominant(self.capacity) <= owed + ROUNDING
+        used.up_to(job.class).plus(job.size).dominant_share(self.capacity) <= owed + ROUNDING
     }
 
     /// Makes room for a task of `job` on the worker where that displaces least, and returns it.
@@ -332,9 +333,9 @@
             return None;
         }
         let mut best: Option<(usize, Vec<&'p TaskId>)> = None;
-        let open: Vec<usize> = self.rooms.open().collect();
+        let open: Vec<usize> = self.rooms.schedulable().collect();
         for at in open {
-            if !self.rooms.is_apart(at, name, job) || !job.size.fits(self.capacity_at(at)) {
+            if !self.rooms.satisfies_spread(at, name, job) || !job.size.fits(self.capacity_at(at)) {
                 continue;
             }
             let limit = best.as_ref().map_or(usize::MAX, |(_, victims)| victims.len());
@@ -347,13 +348,13 @@
             let victim = &self.pool.jobs[&task.job];
             self.take_off(victim);
             let is_own = victim.group == job.group;
-            self.stop(task, if is_own { StopReason::Yielded } else { StopReason::CalledBack });
+            self.stop(task, if is_own { StopReason::Preempted } else { StopReason::Reclaimed });
         }
         Some(at)
     }
 
     fn capacity_at(&self, at: usize) -> Amount {
-        self.pool.workers[self.rooms.id(at)].capacity
+        self.pool.workers[self.rooms.worker_id(at)].capacity
     }
 
     fn take_off(&mut self, job: &Job) {
@@ -367,7 +368,7 @@
     /// Returns fewer than `limit` tasks that make room at a worker, if there are: one that is enough by
     /// itself, or several, those that lose least first.
     fn victims(&mut self, at: usize, job: &Job, limit: usize) -> Option<Vec<&'p TaskId>> {
-        let tasks = self.lent_at(self.rooms.id(at));
+        let tasks = self.lent_at(self.rooms.worker_id(at));
         let missing = self.rooms.shortage(at, job);
         let is_enough = |task: &&&'p TaskId| {
             let victim = &self.pool.jobs[&task.job];
@@ -423,8 +424,8 @@
         let owed = self.owed.get(&job.group).copied().unwrap_or_default();
         let with = usage.up_to(job.class);
         let without = with.minus(job.size);
-        with.dominant(self.capacity) > owed + ROUNDING
-            && without.dominant(self.capacity) + ROUNDING >= owed
+        with.dominant_share(self.capacity) > owed + ROUNDING
+            && without.dominant_share(self.capacity) + ROUNDING >= owed
     }
 
     /// Returns the tasks of a worker that could be called back, those that lose least first.
@@ -453,7 +454,7 @@
     for tasks in tasks.values_mut() {
         tasks.sort_by_key(|task| {
             let job = &pool.jobs[&task.job];
-            let order = pool.tasks[*task].order;
+            let order = pool.tasks[*task].sequence;
             (std::cmp::Reverse(job.class), !job.has_checkpoint, std::cmp::Reverse(order))
         });
     }
--- a/reachhead_plan/src/pool.rs
+++ b/reachhead_plan/src/pool.rs
@@ -23,7 +23,7 @@
     /// What it has.
     pub capacity: Amount,
     /// Whether it takes new tasks: it serves and is not quarantined.
-    pub is_open: bool,
+    pub is_schedulable: bool,
     /// Whether a wave has yet to come to it, so that what is placed there is soon displaced again.
     pub is_due: bool,
 }
@@ -67,11 +67,11 @@
 
 /// A task that has a place.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placed {
+pub struct PlacedTask {
     /// Where it runs.
     pub worker: HostId,
     /// When it was placed, as a number that grows.
-    pub order: u64,
+    pub sequence: u64,
     /// Whether it was told to stop and still has its room.
     pub is_stopping: bool,
 }
@@ -84,7 +84,7 @@
     /// The jobs.
     pub jobs: BTreeMap<JobName, Job>,
     /// The tasks that have a place.
-    pub tasks: BTreeMap<TaskId, Placed>,
+    pub tasks: BTreeMap<TaskId, PlacedTask>,
 }
 
 /// Why a task is stopped.
@@ -93,20 +93,20 @@
     /// Nobody wants it any more.
     Cancelled,
     /// It ran on lent room that its owner needs.
-    CalledBack,
+    Reclaimed,
     /// Urgent work of its own group needs its room.
-    Yielded,
+    Preempted,
     /// Its worker is not there any more.
-    WorkerGone,
+    WorkerRemoved,
 }
 
 /// How a task ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum StopMode {
     /// It writes a checkpoint first.
     Checkpoint,
     /// At once.
-    Stop,
+    Immediate,
 }
 
 /// What is to be done.
@@ -126,34 +126,34 @@
         /// Why.
         reason: StopReason,
         /// How.
-        ending: Ending,
+        mode: StopMode,
     },
 }
 
 /// Why tasks of a job have no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hindrance {
+pub enum PendingReason {
     /// No worker of the pool is as large as a task; it can never run here.
     TooLarge {
         /// What a task asks for.
-        asked: Amount,
+        requested: Amount,
         /// The most that a worker of the pool has, each resource by itself.
         largest: Amount,
     },
     /// Every rack that has room has a task of the job already.
-    NoRack,
+    NoFreeRack,
     /// There is no room now.
-    NoRoom,
+    NoCapacity,
 }
 
-impl Display for Hindrance {
+impl Display for PendingReason {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge { asked, largest } => {
-                write!(f, "can never run: asks {asked}, the largest host has {largest}")
+            Self::TooLarge { requested, largest } => {
+                write!(f, "can never run: asks {requested}, the largest host has {largest}")
             }
-            Self::NoRack => f.write_str("every rack with room has a task of it already"),
-            Self::NoRoom => f.write_str("waits for room"),
+            Self::NoFreeRack => f.write_str("every rack with room has a task of it already"),
+            Self::NoCapacity => f.write_str("waits for room"),
         }
     }
 }
@@ -164,5 +164,5 @@
     /// What is to be done, in order.
     pub actions: Vec<Action>,
     /// The jobs of which tasks have no place, and why.
-    pub hindered: BTreeMap<JobName, Hindrance>,
+    pub pending_reasons: BTreeMap<JobName, PendingReason>,
 }
--- a/reachhead_plan/src/share.rs
+++ b/reachhead_plan/src/share.rs
@@ -26,7 +26,7 @@
 
 /// Returns what each group that asks for something is owed of `capacity`, when each asks for
 /// `demands`; all in parts of the pool.
-pub fn owed(tree: &Tree, demands: &Shares, capacity: f64) -> Shares {
+pub fn fair_shares(tree: &Tree, demands: &Shares, capacity: f64) -> Shares {
     let nodes = Nodes::new(tree, demands);
     let mut owed = Shares::new();
     nodes.split(&nodes.roots, None, capacity, &mut owed);
--- a/reachhead_plan/tests/facts.rs
+++ b/reachhead_plan/tests/facts.rs
@@ -6,8 +6,8 @@
 
 use reachhead_plan::{
     amount::Amount,
-    estimate::{Estimator, SAMPLE_LIMIT},
-    health::{Health, JOB_LIMIT, WORKER_LIMIT},
+    estimate::{Estimator, MAX_SAMPLES},
+    failures::{FAILING_MIN_WORKERS, FailureTracker, QUARANTINE_MIN_JOBS},
 };
 use reachhead_property::properties;
 use reachhead_types::id::{HostId, JobName};
@@ -25,10 +25,10 @@
         let declared = Amount::new(u64::from(declared), 0, 3);
         let mut estimator = Estimator::new();
         for report in &reports {
-            estimator.report(Amount::new(u64::from(*report), 0, 9));
+            estimator.record(Amount::new(u64::from(*report), 0, 9));
         }
         let mut latest: Vec<u64> =
-            reports.iter().rev().take(SAMPLE_LIMIT).map(|report| u64::from(*report)).collect();
+            reports.iter().rev().take(MAX_SAMPLES).map(|report| u64::from(*report)).collect();
         latest.sort_unstable();
         let estimate = estimator.estimate(declared);
         let count = latest.len();
@@ -46,11 +46,11 @@
 
     fn a_worker_is_quarantined_for_several_jobs_that_run_elsewhere(results: Vec<(u8, u8, bool)>) -> bool {
         let results = &results[..results.len().min(30)];
-        let mut health = Health::new();
+        let mut health = FailureTracker::new();
         for &(at, of, is_good) in results {
             match is_good {
-                true => health.succeed(&worker(at), &job(of)),
-                false => health.fail(&worker(at), &job(of)),
+                true => health.record_success(&worker(at), &job(of)),
+                false => health.record_failure(&worker(at), &job(of)),
             }
         }
         // The naive version walks back through all results.
@@ -62,29 +62,29 @@
             let failed = since(&|result| result.0 % 5 == number);
             let everywhere = |of: u8| {
                 let workers = since(&|result| result.1 % 5 == of);
-                workers.iter().map(|pair| pair.0).collect::<BTreeSet<_>>().len() >= JOB_LIMIT
+                workers.iter().map(|pair| pair.0).collect::<BTreeSet<_>>().len() >= FAILING_MIN_WORKERS
             };
             let jobs: BTreeSet<u8> =
                 failed.iter().map(|pair| pair.1).filter(|&of| !everywhere(of)).collect();
-            health.is_quarantined(&worker(number)) == (jobs.len() >= WORKER_LIMIT)
+            health.is_quarantined(&worker(number)) == (jobs.len() >= QUARANTINE_MIN_JOBS)
         })
     }
 }
 
 #[test]
 fn a_job_that_fails_everywhere_is_to_blame_and_not_its_workers() {
-    let mut health = Health::new();
+    let mut health = FailureTracker::new();
     for number in 0..4 {
-        health.fail(&worker(number), &job(0));
+        health.record_failure(&worker(number), &job(0));
     }
     assert!(health.is_failing(&job(0)));
     for number in 1..4 {
-        health.fail(&worker(0), &job(number));
+        health.record_failure(&worker(0), &job(number));
     }
     assert!(health.is_quarantined(&worker(0)));
     assert!(!health.is_failing(&job(1)), "one worker is no proof");
-    health.forget(&worker(0));
+    health.forget_worker(&worker(0));
     assert!(!health.is_quarantined(&worker(0)));
-    health.succeed(&worker(1), &job(0));
+    health.record_success(&worker(1), &job(0));
     assert!(!health.is_failing(&job(0)));
 }
--- a/reachhead_plan/tests/planner.rs
+++ b/reachhead_plan/tests/planner.rs
@@ -8,9 +8,10 @@
     amount::Amount,
     planner::plan,
     pool::{
-        Action, Ending, Hindrance, Job, Placed, Plan, Pool, Spread, StopReason, TaskId, Worker,
+        Action, Job, PendingReason, PlacedTask, Plan, Pool, Spread, StopMode, StopReason, TaskId,
+        Worker,
     },
-    share::{Shares, owed},
+    share::{Shares, fair_shares},
 };
 use reachhead_property::properties;
 use reachhead_types::{
@@ -49,13 +50,13 @@
     format!("j{}", number % 8).parse().unwrap()
 }
 
-fn new_worker(number: u8, size: u8, is_open: bool) -> Worker {
+fn new_worker(number: u8, size: u8, is_schedulable: bool) -> Worker {
     let (cores, accelerators) = (u64::from(size % 4) + 1, u64::from(size % 3 == 0) * 2);
     Worker {
         zone: format!("z{}", number % 2).parse().unwrap(),
         rack: format!("r{}", number % 4).parse().unwrap(),
         capacity: Amount::new(cores * 4000, cores * 8192, accelerators),
-        is_open,
+        is_schedulable,
         is_due: size % 5 == 0,
     }
 }
@@ -75,13 +76,13 @@
 /// A pool that changes, and whose plans are carried out.
 struct World {
     pool: Pool,
-    order: u64,
+    sequence: u64,
 }
 
 impl World {
     fn new() -> Self {
         let workers = (0..6).map(|number| (worker(number), new_worker(number, number, true)));
-        Self { pool: Pool { workers: workers.collect(), ..Pool::default() }, order: 0 }
+        Self { pool: Pool { workers: workers.collect(), ..Pool::default() }, sequence: 0 }
     }
 
     fn change(&mut self, (kind, one, two): (u8, u8, u8)) {
@@ -89,7 +90,7 @@
             0 => drop(self.pool.workers.insert(worker(one), new_worker(one, two, true))),
             1 => {
                 if let Some(worker) = self.pool.workers.get_mut(&worker(one)) {
-                    worker.is_open = two % 2 == 0;
+                    worker.is_schedulable = two % 2 == 0;
                 }
             }
             2 => drop(self.pool.workers.remove(&worker(one))),
@@ -121,9 +122,12 @@
         for action in &plan.actions {
             match action {
                 Action::Start { task, worker } => {
-                    self.order += 1;
-                    let placed =
-                        Placed { worker: worker.clone(), order: self.order, is_stopping: false };
+                    self.sequence += 1;
+                    let placed = PlacedTask {
+                        worker: worker.clone(),
+                        sequence: self.sequence,
+                        is_stopping: false,
+                    };
                     self.pool.tasks.insert(task.clone(), placed);
                 }
                 Action::Stop { task, .. } => {
@@ -163,15 +167,16 @@
         self.pool.workers.values().any(|worker| job.size.fits(worker.capacity))
     }
 
-    fn owed(&self) -> Shares {
+    fn fair_shares(&self) -> Shares {
         let mut asked: BTreeMap<GroupName, Amount> = BTreeMap::new();
         for job in self.pool.jobs.values().filter(|job| self.can_ever_run(job)) {
             let asked = asked.entry(job.group.clone()).or_default();
             (0..job.tasks).for_each(|_| *asked = asked.plus(job.size));
         }
         let capacity = self.capacity();
-        let demands = asked.into_iter().map(|(group, asked)| (group, asked.dominant(capacity)));
-        owed(&tree(), &demands.collect(), 1.0)
+        let demands =
+            asked.into_iter().map(|(group, asked)| (group, asked.dominant_share(capacity)));
+        fair_shares(&tree(), &demands.collect(), 1.0)
     }
 
     /// Returns what is free on a worker without `given_up`; what is stopping still has its room.
@@ -193,8 +198,8 @@
 
     /// Checks a plan before it is carried out, by rules that look at one action at a time.
     fn check(&self, plan: &Plan) -> Result<(), String> {
-        let mut after = World { pool: self.pool.clone(), order: self.order };
-        let owed = self.owed();
+        let mut after = World { pool: self.pool.clone(), sequence: self.sequence };
+        let owed = self.fair_shares();
         let mut seen = BTreeSet::new();
         for action in &plan.actions {
             match action {
@@ -206,7 +211,7 @@
                     if !is_wanted || !seen.insert(task) {
                         return Err(format!("{task:?} is started without need"));
                     }
-                    if !self.pool.workers[worker].is_open
+                    if !self.pool.workers[worker].is_schedulable
                         || !job.size.fits(after.free(worker, Amount::default()))
                     {
                         return Err(format!("{task:?} does not fit on {worker}"));
@@ -214,31 +219,32 @@
                     if !after.is_apart(&task.job, worker) {
                         return Err(format!("{task:?} is not apart on {worker}"));
                     }
-                    let placed = Placed { worker: worker.clone(), order: 0, is_stopping: false };
+                    let placed =
+                        PlacedTask { worker: worker.clone(), sequence: 0, is_stopping: false };
                     after.pool.tasks.insert(task.clone(), placed);
                 }
-                Action::Stop { task, reason, ending } => {
+                Action::Stop { task, reason, mode } => {
                     if self.pool.tasks[task].is_stopping || !seen.insert(task) {
                         return Err(format!("{task:?} is stopped twice"));
                     }
                     let job = self.pool.jobs.get(&task.job);
                     let keeps = job.is_some_and(|job| job.has_checkpoint);
-                    let is_wanted = matches!(reason, StopReason::CalledBack | StopReason::Yielded);
-                    if is_wanted && keeps != (*ending == Ending::Checkpoint) {
-                        return Err(format!("{task:?} ends by {ending:?}"));
+                    let is_wanted = matches!(reason, StopReason::Reclaimed | StopReason::Preempted);
+                    if is_wanted && keeps != (*mode == StopMode::Checkpoint) {
+                        return Err(format!("{task:?} ends by {mode:?}"));
                     }
                     after.pool.tasks.get_mut(task).unwrap().is_stopping = true;
                 }
             }
         }
         let called_back = plan.actions.iter().filter_map(|action| match action {
-            Action::Stop { task, reason: StopReason::CalledBack, .. } => Some(&task.job),
+            Action::Stop { task, reason: StopReason::Reclaimed, .. } => Some(&task.job),
             _ => None,
         });
         let mut used = after.used();
         // What a group gives up for its own urgent work is still its own.
         for action in &plan.actions {
-            if let Action::Stop { task, reason: StopReason::Yielded, .. } = action {
+            if let Action::Stop { task, reason: StopReason::Preempted, .. } = action {
                 let job = &self.pool.jobs[&task.job];
                 let used = used.entry(job.group.clone()).or_default();
                 *used = used.plus(job.size);
@@ -246,7 +252,7 @@
         }
         for job in called_back {
             let group = &self.pool.jobs[job].group;
-            let left = used.get(group).copied().unwrap_or_default().dominant(self.capacity());
+            let left = used.get(group).copied().unwrap_or_default().dominant_share(self.capacity());
             let owed = owed.get(group).copied().unwrap_or_default();
             if left + 1e-6 < owed {
                 return Err(format!("{group} is left {left} of the {owed} that it is owed"));
@@ -257,20 +263,20 @@
 
     /// Checks a pool at rest: nothing that waits could have a place.
     fn check_rest(&self, plan: &Plan) -> Result<(), String> {
-        let (owed, capacity) = (self.owed(), self.capacity());
+        let (owed, capacity) = (self.fair_shares(), self.capacity());
         for (name, job) in &self.pool.jobs {
             let is_waiting = (0..job.tasks)
                 .any(|number| !self.pool.tasks.contains_key(&TaskId { job: name.clone(), number }));
             if !is_waiting {
                 continue;
             }
-            let Some(hindrance) = plan.hindered.get(name) else {
+            let Some(hindrance) = plan.pending_reasons.get(name) else {
                 return Err(format!("nobody says why {name} waits"));
             };
-            if self.can_ever_run(job) == matches!(hindrance, Hindrance::TooLarge { .. }) {
+            if self.can_ever_run(job) == matches!(hindrance, PendingReason::TooLarge { .. }) {
                 return Err(format!("{name} is said to wait by {hindrance:?}"));
             }
-            let open = self.pool.workers.iter().filter(|(_, worker)| worker.is_open);
+            let open = self.pool.workers.iter().filter(|(_, worker)| worker.is_schedulable);
             for (id, _) in open {
                 if !self.is_apart(name, id) {
                     continue;
@@ -280,7 +286,7 @@
                 }
                 let own = self.used_up_to(&job.group, job.class).plus(job.size);
                 let own_owed = owed.get(&job.group).copied().unwrap_or_default();
-                if own.dominant(capacity) > own_owed + 1e-9 {
+                if own.dominant_share(capacity) > own_owed + 1e-9 {
                     continue;
                 }
                 // One task on lent room would be enough to call back.
@@ -290,7 +296,7 @@
                         continue;
                     }
                     let left = self.used_up_to(&other.group, other.class);
-                    let left = left.minus(other.size).dominant(capacity);
+                    let left = left.minus(other.size).dominant_share(capacity);
                     let keeps = left + 1e-6 >= owed.get(&other.group).copied().unwrap_or_default();
                     let fits = job.size.fits(self.free(id, other.size));
                     if placed.worker == *id
@@ -350,7 +356,7 @@
     world.pool.jobs.insert(job_name(0), job);
     let plan = plan(&world.pool, &tree());
     assert!(plan.actions.is_empty());
-    let text = plan.hindered[&job_name(0)].to_string();
+    let text = plan.pending_reasons[&job_name(0)].to_string();
     assert!(text.contains("asks 64 cores") && text.contains("has 16 cores"), "{text}");
 }
 
@@ -371,7 +377,10 @@
     world.pool.jobs.insert(job_name(2), of(Class::Normal, 3));
     let next = plan(&world.pool, &tree());
     let yielded = next.actions.iter().filter(|action| {
-        matches!(action, Action::Stop { reason: StopReason::Yielded, ending: Ending::Stop, .. })
+        matches!(
+            action,
+            Action::Stop { reason: StopReason::Preempted, mode: StopMode::Immediate, .. }
+        )
     });
     assert_eq!(yielded.count(), 6, "each task that is more urgent takes the room of one");
 }
@@ -396,7 +405,7 @@
     let checkpoints = second.actions.iter().filter(|action| {
         matches!(
             action,
-            Action::Stop { ending: Ending::Checkpoint, reason: StopReason::CalledBack, .. }
+            Action::Stop { mode: StopMode::Checkpoint, reason: StopReason::Reclaimed, .. }
         )
     });
     assert_eq!(checkpoints.count(), 5, "as many as are needed and no more, of {lent}");
--- a/reachhead_plan/tests/share.rs
+++ b/reachhead_plan/tests/share.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use reachhead_plan::share::{Shares, owed};
+use reachhead_plan::share::{Shares, fair_shares};
 use reachhead_property::properties;
 use reachhead_types::{
     fleet::GroupRow,
@@ -99,7 +99,7 @@
     fn shares_are_those_of_the_naive_filler(drawn: Vec<(u8, u8, u8)>) -> bool {
         let drawn = &drawn[..drawn.len().min(7)];
         let (tree, demands) = (tree(drawn), demands(drawn));
-        let exact = owed(&tree, &demands, 1.0);
+        let exact = fair_shares(&tree, &demands, 1.0);
         let naive = naive(&tree, &demands, 1.0);
         // A step may be off at each group on the way.
         let room = 8.0 * 1.0 / STEPS as f64;
@@ -110,7 +110,7 @@
     fn nobody_gets_more_than_it_asks_and_nothing_asked_for_is_left(drawn: Vec<(u8, u8, u8)>) -> bool {
         let drawn = &drawn[..drawn.len().min(30)];
         let (tree, demands) = (tree(drawn), demands(drawn));
-        let owed = owed(&tree, &demands, 1.0);
+        let owed = fair_shares(&tree, &demands, 1.0);
         let given: f64 = owed.values().sum();
         let asked: f64 = demands.values().sum();
         owed.iter().all(|(group, part)| *part <= demands[group] + 1e-9)
@@ -130,7 +130,7 @@
             rows.insert(name(2 + part), row(Some(1), u32::from(weight % 9) + 1));
             demands.insert(name(2 + part), 2.0);
         }
-        let owed = owed(&Tree::new(rows).unwrap(), &demands, 1.0);
+        let owed = fair_shares(&Tree::new(rows).unwrap(), &demands, 1.0);
         (owed[&name(0)] - 0.5).abs() < 1e-9
     }
 }
