--- a/reachhead_bench/src/capacity/shares.rs
+++ b/reachhead_bench/src/capacity/shares.rs
@@ -44,11 +44,11 @@
     let now = BootInstant::now();
     let mut shares = ShareHistory::new();
     // Two lists count while one replaces the other.
-    shares.note(list[1..].to_vec(), Some(list[1].clone()), now);
-    shares.expire(Duration::ZERO, now);
-    shares.note(list.clone(), Some(list[1].clone()), now);
+    shares.record_list(list[1..].to_vec(), Some(list[1].clone()), now);
+    shares.expire_lists(Duration::ZERO, now);
+    shares.record_list(list.clone(), Some(list[1].clone()), now);
     let started = BootInstant::now();
-    let total: u32 = (0..minions).map(|m| shares.usable(&format!("alpha/m{m}"), SLOTS)).sum();
+    let total: u32 = (0..minions).map(|m| shares.usable_slots(&format!("alpha/m{m}"), SLOTS)).sum();
     let took = started.elapsed();
     assert!(total > 0, "a host of many has some share");
     took
--- a/reachhead_entry/src/process/core.rs
+++ b/reachhead_entry/src/process/core.rs
@@ -118,7 +118,9 @@
             self.services.set_limits(limits);
         }
         self.loans.update(update.peers, update.longest);
-        self.attempts.borrow_mut().forget(self.settings.claims.keep.duration(), BootInstant::now());
+        self.attempts
+            .borrow_mut()
+            .evict_ended(self.settings.claims.keep.duration(), BootInstant::now());
         self.ready.set(self.not_ready(), self.fresh_until.get());
     }
 
--- a/reachhead_entry/src/process/follow.rs
+++ b/reachhead_entry/src/process/follow.rs
@@ -124,8 +124,8 @@
         };
         let hosts = reply.members.iter().map(Member::id).collect();
         let now = BootInstant::now();
-        let is_new_list = self.shares.note(hosts, reply.own, now);
-        let is_expired = self.shares.expire(self.hold(reply.notice), now);
+        let is_new_list = self.shares.record_list(hosts, reply.own, now);
+        let is_expired = self.shares.expire_lists(self.hold(reply.notice), now);
         let is_changed = fleet.is_some() || is_new_list || is_expired;
         if let Some(leaving) = &reply.leaving {
             self.hosts_revision = leaving.revision;
@@ -186,7 +186,7 @@
         let services = self.fleet.services.iter().map(|(name, service)| {
             let minions = service.minions.iter().map(|(id, row)| {
                 let minion = format!("{name}/{id}");
-                (id.clone(), self.shares.usable(&minion, row.slots.0))
+                (id.clone(), self.shares.usable_slots(&minion, row.slots.0))
             });
             (name.clone(), minions.collect())
         });
--- a/reachhead_entry/src/process/link.rs
+++ b/reachhead_entry/src/process/link.rs
@@ -6,7 +6,7 @@
     message::{EntryReply, EntryRequest},
     server::Responder,
 };
-use reachhead_path::claim::Attempt;
+use reachhead_path::claim::AttemptState;
 use reachhead_types::id::AttemptId;
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
@@ -64,11 +64,11 @@
 fn attempt_reply(core: &Core, attempt: AttemptId) -> EntryReply {
     match core.attempts.borrow().state(attempt) {
         None => EntryReply::Stranger,
-        Some(Attempt::Pending | Attempt::Sent) => EntryReply::InProgress,
-        Some(Attempt::Abandoned) => EntryReply::Abandoned,
-        Some(Attempt::Done(answer)) => EntryReply::Done(Box::new((**answer).clone())),
-        Some(Attempt::Unkept) => EntryReply::Unkept,
-        Some(Attempt::Lost) => EntryReply::Lost,
+        Some(AttemptState::Pending | AttemptState::Sent) => EntryReply::InProgress,
+        Some(AttemptState::Abandoned) => EntryReply::Abandoned,
+        Some(AttemptState::Done(answer)) => EntryReply::Done(Box::new((**answer).clone())),
+        Some(AttemptState::Unkept) => EntryReply::Unkept,
+        Some(AttemptState::Lost) => EntryReply::Lost,
     }
 }
 
--- a/reachhead_entry/src/process/loans.rs
+++ b/reachhead_entry/src/process/loans.rs
@@ -9,7 +9,7 @@
 
 use rand::seq::IndexedRandom;
 use reachhead_link::message::{EntryReply, EntryRequest, LentSlots};
-use reachhead_path::loan::LOAN_TERM;
+use reachhead_path::loan::LOAN_DURATION;
 use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 use tokio::{task::spawn_local, time};
 
@@ -103,7 +103,7 @@
         peer: SocketAddr,
         slots: Vec<LentSlots>,
     ) {
-        time::sleep(LOAN_TERM).await;
+        time::sleep(LOAN_DURATION).await;
         let limit = BootInstant::now() + self.grace();
         while service.is_over_limit(&slots) && BootInstant::now() < limit {
             time::sleep(LOOK_PAUSE).await;
--- a/reachhead_entry/src/process/minion.rs
+++ b/reachhead_entry/src/process/minion.rs
@@ -9,8 +9,8 @@
 
 use reachhead_ops::event::{Event, emit};
 use reachhead_path::{
-    eject::{Ejection, Step},
-    loan::{LoanTable, Share},
+    eject::{Ejection, EjectionChange},
+    loan::{LoanTable, SlotUsage},
     pick::Candidate,
 };
 use reachhead_types::{
@@ -105,13 +105,13 @@
 
     /// Lends up to `want` slots and returns how many.
     pub fn lend(&self, loan: LoanId, want: u32, grace: Duration, now: BootInstant) -> u32 {
-        let share = Share { slots: self.share.get(), running: self.running.get() };
+        let share = SlotUsage { slots: self.share.get(), running: self.running.get() };
         self.loans.borrow_mut().lend(loan, share, want, grace, now)
     }
 
     /// Takes back what was lent as `loan`.
     pub fn take_back(&self, loan: LoanId) {
-        self.loans.borrow_mut().take_back(loan);
+        self.loans.borrow_mut().end_loan(loan);
     }
 
     /// Uses slots that were borrowed by a question asked at `asked`.
@@ -171,21 +171,21 @@
 
     /// Notes an answer.
     pub fn succeed(&self) {
-        let step = self.ejection.borrow_mut().succeed();
+        let step = self.ejection.borrow_mut().record_success();
         self.tell(step);
     }
 
     /// Notes a failure.
     pub fn fail(&self) {
-        let step = self.ejection.borrow_mut().fail(BootInstant::now());
+        let step = self.ejection.borrow_mut().record_failure(BootInstant::now());
         self.tell(step);
     }
 
-    fn tell(&self, step: Step) {
+    fn tell(&self, step: EjectionChange) {
         let event = match step {
-            Step::Same => return,
-            Step::Ejected => Event::MinionEjected,
-            Step::Restored => Event::MinionRestored,
+            EjectionChange::Unchanged => return,
+            EjectionChange::Ejected => Event::MinionEjected,
+            EjectionChange::Restored => Event::MinionRestored,
         };
         emit(event, format_args!("{}/{}", self.service, self.id));
     }
--- a/reachhead_entry/src/process/service.rs
+++ b/reachhead_entry/src/process/service.rs
@@ -10,7 +10,7 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use reachhead_link::message::LentSlots;
 use reachhead_path::{
-    fair::{Ask, Charge, FairQueue, QueueError, Turn, Waiting},
+    fair::{Charge, Dequeued, FairQueue, QueueError, QueueItem, QueueRequest},
     pick,
     retry::RetryBudget,
 };
@@ -65,7 +65,7 @@
     reply: oneshot::Sender<Result<Permit, ErrorKind>>,
 }
 
-impl Waiting for Waiter {
+impl QueueItem for Waiter {
     fn is_wanted(&self) -> bool {
         !self.reply.is_closed()
     }
@@ -218,7 +218,7 @@
     /// `NoMinion`, `Overloaded` or `DeadlineInQueue`, each as soon as it is known.
     pub async fn acquire(
         self: &Rc<Self>,
-        ask: &Ask,
+        ask: &QueueRequest,
         tried: &[MinionId],
     ) -> Result<Permit, ErrorKind> {
         let granted = match self.try_acquire(ask, tried)? {
@@ -232,7 +232,11 @@
         }
     }
 
-    fn try_acquire(self: &Rc<Self>, ask: &Ask, tried: &[MinionId]) -> Result<Acquired, ErrorKind> {
+    fn try_acquire(
+        self: &Rc<Self>,
+        ask: &QueueRequest,
+        tried: &[MinionId],
+    ) -> Result<Acquired, ErrorKind> {
         let now = BootInstant::now();
         let mut inner = self.inner.borrow_mut();
         if inner.queue.is_empty()
@@ -285,7 +289,7 @@
             return None;
         }
         let popped = inner.queue.pop(now);
-        let granted = popped.next.and_then(|Turn { item, charge }| {
+        let granted = popped.next.and_then(|Dequeued { item, charge }| {
             let minion = inner.choose(&item.tried, now)?;
             Some((item, self.permit(minion, charge, now)))
         });
@@ -359,7 +363,7 @@
 
     /// Notes a success, which earns a part of a retry.
     pub fn succeed(&self) {
-        self.inner.borrow_mut().retries.succeed();
+        self.inner.borrow_mut().retries.record_success();
     }
 
     /// Takes a retry off the budget, if there is one.
--- a/reachhead_entry/src/request/dispatch.rs
+++ b/reachhead_entry/src/request/dispatch.rs
@@ -67,7 +67,7 @@
     }
     let result = outgoing.send(core).await;
     if let (Some(attempt), Err(SendError::NotSent(_))) = (attempt, &result) {
-        core.attempts.borrow_mut().take_back(attempt);
+        core.attempts.borrow_mut().mark_unsent(attempt);
     }
     result
 }
--- a/reachhead_entry/src/request/keyed.rs
+++ b/reachhead_entry/src/request/keyed.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::Response;
 use reachhead_link::message::{EntryReply, EntryRequest};
-use reachhead_path::claim::{Attempt, Meeting};
+use reachhead_path::claim::{AttemptState, ClaimLookup};
 use reachhead_store::{
     claim::{ClaimRow, ClaimState},
     keys,
@@ -58,11 +58,11 @@
     let store_key =
         keys::claim(&arrived.route.row.group, &arrived.route.row.service, &digest(&key));
     let fingerprint = fingerprint(&arrived);
-    let meeting = core.attempts.borrow().meet(&store_key.0, fingerprint);
-    match meeting {
-        Meeting::Reused => return reply::error(core, ErrorKind::KeyReused),
-        Meeting::Same(attempt) => return settled(core, own_end(attempt)),
-        Meeting::New => {}
+    let lookup = core.attempts.borrow().look_up(&store_key.0, fingerprint);
+    match lookup {
+        ClaimLookup::KeyReused => return reply::error(core, ErrorKind::KeyReused),
+        ClaimLookup::Existing(attempt) => return settled(core, own_end(attempt)),
+        ClaimLookup::New => {}
     }
     let attempt = AttemptId(rand::random());
     core.attempts.borrow_mut().start(&store_key.0, fingerprint, attempt, BootInstant::now());
@@ -114,12 +114,12 @@
         Ok(answer) => record_answer(core, claim, answer),
         Err(SendError::NotSent(_)) => {
             let mut attempts = core.attempts.borrow_mut();
-            attempts.take_back(claim.row.attempt);
+            attempts.mark_unsent(claim.row.attempt);
             attempts.abandon(claim.row.attempt);
             core.claims.record(claim.key, None, claim.revision);
         }
         Err(SendError::Unknown(_) | SendError::Late(_)) => {
-            end(core, claim, Attempt::Lost, ClaimState::Lost);
+            end(core, claim, AttemptState::Lost, ClaimState::Lost);
         }
     }
 }
@@ -128,13 +128,13 @@
     match &answer.body {
         SentBody::Whole(body) => {
             let kept = reply::keep(&answer.head, body);
-            end(core, claim, Attempt::Done(Rc::new(kept.clone())), ClaimState::Done(kept));
+            end(core, claim, AttemptState::Done(Rc::new(kept.clone())), ClaimState::Done(kept));
         }
-        SentBody::Streaming { .. } => end(core, claim, Attempt::Unkept, ClaimState::Unkept),
+        SentBody::Streaming { .. } => end(core, claim, AttemptState::Unkept, ClaimState::Unkept),
     }
 }
 
-fn end(core: &Core, claim: Claim, attempt: Attempt, state: ClaimState) {
+fn end(core: &Core, claim: Claim, attempt: AttemptState, state: ClaimState) {
     core.attempts.borrow_mut().finish(claim.row.attempt, attempt);
     let row = ClaimRow { state, ..claim.row };
     core.claims.record(claim.key, Some(row), claim.revision);
@@ -172,7 +172,7 @@
     if held.incarnation == core.incarnation {
         let state = core.attempts.borrow().state(held.attempt).cloned();
         return match state {
-            Some(Attempt::Abandoned) => Ok(()),
+            Some(AttemptState::Abandoned) => Ok(()),
             Some(attempt) => Err(own_end(attempt)),
             None => Err(Settled::Error(ErrorKind::KeyOutcomeLost)),
         };
@@ -191,14 +191,14 @@
 }
 
 /// Returns how a second request is answered while or after this process's own attempt.
-fn own_end(attempt: Attempt) -> Settled {
+fn own_end(attempt: AttemptState) -> Settled {
     match attempt {
-        Attempt::Pending | Attempt::Sent | Attempt::Abandoned => {
+        AttemptState::Pending | AttemptState::Sent | AttemptState::Abandoned => {
             Settled::Error(ErrorKind::KeyInProgress)
         }
-        Attempt::Done(kept) => Settled::Replay(kept),
-        Attempt::Unkept => Settled::Error(ErrorKind::AnswerNotKept),
-        Attempt::Lost => Settled::Error(ErrorKind::KeyOutcomeLost),
+        AttemptState::Done(kept) => Settled::Replay(kept),
+        AttemptState::Unkept => Settled::Error(ErrorKind::AnswerNotKept),
+        AttemptState::Lost => Settled::Error(ErrorKind::KeyOutcomeLost),
     }
 }
 
--- a/reachhead_entry/src/request/mod.rs
+++ b/reachhead_entry/src/request/mod.rs
@@ -16,7 +16,7 @@
     body::{Body, Incoming},
     http::request::Parts,
 };
-use reachhead_path::fair::Ask;
+use reachhead_path::fair::QueueRequest;
 use reachhead_types::{
     boot_instant::BootInstant,
     error::{DEADLINE_HEADER, ErrorKind, KEY_HEADER},
@@ -43,8 +43,8 @@
 
 impl Arrived {
     /// Returns what the fair queue needs to know.
-    pub fn ask(&self) -> Ask {
-        Ask {
+    pub fn ask(&self) -> QueueRequest {
+        QueueRequest {
             group: self.route.row.group.clone(),
             class: self.route.row.class,
             deadline: self.deadline,
--- a/reachhead_path/src/claim.rs
+++ b/reachhead_path/src/claim.rs
@@ -18,7 +18,7 @@
 
 /// What became of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Attempt {
+pub enum AttemptState {
     /// It was not sent yet and may be.
     Pending,
     /// It was sent to a minion and has no answer yet.
@@ -35,20 +35,20 @@
 
 /// What a new request with a key meets in this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Meeting {
+pub enum ClaimLookup {
     /// Nothing stands against a new attempt.
     New,
     /// The key was used with another request.
-    Reused,
+    KeyReused,
     /// An attempt for the same request, `Pending`, `Sent` or ended.
-    Same(Attempt),
+    Existing(AttemptState),
 }
 
 #[derive(Debug, Clone)]
 struct Record {
     attempt: AttemptId,
     fingerprint: Fingerprint,
-    state: Attempt,
+    state: AttemptState,
 }
 
 /// The attempts of this process, by the store key of their claim.
@@ -83,17 +83,17 @@
     }
 
     /// Tells what a request with the claim `key` and the body `fingerprint` meets.
-    pub fn meet(&self, key: &str, fingerprint: Fingerprint) -> Meeting {
+    pub fn look_up(&self, key: &str, fingerprint: Fingerprint) -> ClaimLookup {
         match self.by_key.get(key) {
-            None => Meeting::New,
-            Some(record) if record.fingerprint != fingerprint => Meeting::Reused,
+            None => ClaimLookup::New,
+            Some(record) if record.fingerprint != fingerprint => ClaimLookup::KeyReused,
             // Its row may still be in the store, where a takeover replaces it.
-            Some(Record { state: Attempt::Abandoned, .. }) => Meeting::New,
-            Some(record) => Meeting::Same(record.state.clone()),
+            Some(Record { state: AttemptState::Abandoned, .. }) => ClaimLookup::New,
+            Some(record) => ClaimLookup::Existing(record.state.clone()),
         }
     }
 
-    /// Starts an attempt; only after [`Meeting::New`].
+    /// Starts an attempt; only after [`ClaimLookup::New`].
     pub fn start(
         &mut self,
         key: &str,
@@ -101,7 +101,7 @@
         attempt: AttemptId,
         now: BootInstant,
     ) {
-        let record = Record { attempt, fingerprint, state: Attempt::Pending };
+        let record = Record { attempt, fingerprint, state: AttemptState::Pending };
         self.by_key.insert(key.to_owned(), record);
         self.keys.insert(attempt, key.to_owned());
         self.order.push_back(Started { at: now, attempt });
@@ -110,8 +110,8 @@
     /// Marks the attempt as sent and tells whether it may be; to be asked right before sending.
     pub fn send(&mut self, attempt: AttemptId) -> bool {
         match self.state_mut(attempt) {
-            Some(state @ Attempt::Pending) => {
-                *state = Attempt::Sent;
+            Some(state @ AttemptState::Pending) => {
+                *state = AttemptState::Sent;
                 true
             }
             _ => false,
@@ -120,15 +120,15 @@
 
     /// Notes that a sent attempt did not run after all, because the minion never got it or refused
     /// it by contract; it may be sent again.
-    pub fn take_back(&mut self, attempt: AttemptId) {
-        if let Some(state @ Attempt::Sent) = self.state_mut(attempt) {
-            *state = Attempt::Pending;
+    pub fn mark_unsent(&mut self, attempt: AttemptId) {
+        if let Some(state @ AttemptState::Sent) = self.state_mut(attempt) {
+            *state = AttemptState::Pending;
         }
     }
 
     /// Ends an attempt as `Done`, `Unkept` or `Lost` if it was sent; else nothing changes.
-    pub fn finish(&mut self, attempt: AttemptId, end: Attempt) {
-        if let Some(state @ Attempt::Sent) = self.state_mut(attempt) {
+    pub fn finish(&mut self, attempt: AttemptId, end: AttemptState) {
+        if let Some(state @ AttemptState::Sent) = self.state_mut(attempt) {
             *state = end;
         }
     }
@@ -136,8 +136,8 @@
     /// Gives an attempt up if it was not sent, and tells whether it is abandoned now.
     pub fn abandon(&mut self, attempt: AttemptId) -> bool {
         match self.state_mut(attempt) {
-            Some(state @ (Attempt::Pending | Attempt::Abandoned)) => {
-                *state = Attempt::Abandoned;
+            Some(state @ (AttemptState::Pending | AttemptState::Abandoned)) => {
+                *state = AttemptState::Abandoned;
                 true
             }
             _ => false,
@@ -145,22 +145,22 @@
     }
 
     /// Returns the state of `attempt`; `None` if it is not known, which says nothing about it.
-    pub fn state(&self, attempt: AttemptId) -> Option<&Attempt> {
+    pub fn state(&self, attempt: AttemptId) -> Option<&AttemptState> {
         let record = self.by_key.get(self.keys.get(&attempt)?)?;
         // A later attempt of this process replaces an abandoned one under the same key.
         match record.attempt == attempt {
             true => Some(&record.state),
-            false => Some(&Attempt::Abandoned),
+            false => Some(&AttemptState::Abandoned),
         }
     }
 
-    fn state_mut(&mut self, attempt: AttemptId) -> Option<&mut Attempt> {
+    fn state_mut(&mut self, attempt: AttemptId) -> Option<&mut AttemptState> {
         let record = self.by_key.get_mut(self.keys.get(&attempt)?)?;
         (record.attempt == attempt).then_some(&mut record.state)
     }
 
     /// Forgets the ended attempts that started longer than `keep` before `now`.
-    pub fn forget(&mut self, keep: Duration, now: BootInstant) {
+    pub fn evict_ended(&mut self, keep: Duration, now: BootInstant) {
         while let Some(first) = self.order.front() {
             if now.duration_since(first.at) < keep {
                 return;
@@ -169,7 +169,7 @@
             self.order.pop_front();
             match self.state(attempt) {
                 // Still under way: looked at again later.
-                Some(Attempt::Pending | Attempt::Sent) => {
+                Some(AttemptState::Pending | AttemptState::Sent) => {
                     self.order.push_back(Started { at: now, attempt });
                 }
                 _ => self.remove(attempt),
--- a/reachhead_path/src/eject.rs
+++ b/reachhead_path/src/eject.rs
@@ -8,16 +8,16 @@
 pub const FAILURE_LIMIT: u32 = 3;
 
 /// How long the first ejection lasts; each one in a row lasts twice as long.
-pub const FIRST_TERM: Duration = Duration::from_secs(1);
+pub const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
 
 /// How long an ejection lasts at most.
-pub const LAST_TERM: Duration = Duration::from_secs(30);
+pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
 /// What a result changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum EjectionChange {
     /// Nothing that operators need to know.
-    Same,
+    Unchanged,
     /// The minion is ejected from now on.
     Ejected,
     /// The minion answers again after an ejection.
@@ -44,24 +44,24 @@
     }
 
     /// Notes an answer.
-    pub fn succeed(&mut self) -> Step {
+    pub fn record_success(&mut self) -> EjectionChange {
         let was_ejected = self.until.is_some();
         *self = Self::default();
-        if was_ejected { Step::Restored } else { Step::Same }
+        if was_ejected { EjectionChange::Restored } else { EjectionChange::Unchanged }
     }
 
     /// Notes a failure at `now`.
-    pub fn fail(&mut self, now: BootInstant) -> Step {
+    pub fn record_failure(&mut self, now: BootInstant) -> EjectionChange {
         self.failures = self.failures.saturating_add(1);
         // After a term one failure is enough for the next: the minion is on probation.
         let is_due = self.failures >= FAILURE_LIMIT || self.terms > 0;
         if !is_due || self.is_ejected(now) {
-            return Step::Same;
+            return EjectionChange::Unchanged;
         }
-        let term = FIRST_TERM.saturating_mul(1 << self.terms.min(16)).min(LAST_TERM);
+        let term = MIN_EJECTION_TIME.saturating_mul(1 << self.terms.min(16)).min(MAX_EJECTION_TIME);
         self.until = Some(now + term);
         self.terms += 1;
         self.failures = 0;
-        Step::Ejected
+        EjectionChange::Ejected
     }
 }
--- a/reachhead_path/src/fair.rs
+++ b/reachhead_path/src/fair.rs
@@ -18,7 +18,7 @@
 const COST_GAIN: f64 = 0.1;
 
 /// Something that waits in the queue.
-pub trait Waiting {
+pub trait QueueItem {
     /// Tells whether anyone still waits for it.
     fn is_wanted(&self) -> bool;
 }
@@ -34,7 +34,7 @@
 
 /// What a request asks the queue for.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct QueueRequest {
     /// The group on whose share it counts.
     pub group: GroupName,
     /// Its priority inside the group.
@@ -45,16 +45,16 @@
 
 /// What [`FairQueue::pop`] took off the queue.
 #[derive(Debug)]
-pub struct Popped<T> {
+pub struct PopResult<T> {
     /// The request whose turn it is, with what it was charged.
-    pub next: Option<Turn<T>>,
+    pub next: Option<Dequeued<T>>,
     /// Requests that could not have met their deadline.
     pub late: Vec<T>,
 }
 
 /// A request whose turn it is.
 #[derive(Debug)]
-pub struct Turn<T> {
+pub struct Dequeued<T> {
     /// What waited.
     pub item: T,
     /// What its group was charged, to be settled by [`FairQueue::settle`].
@@ -117,7 +117,7 @@
     }
 }
 
-impl<T: Waiting> FairQueue<T> {
+impl<T: QueueItem> FairQueue<T> {
     /// Returns an empty queue without groups.
     pub fn new() -> Self {
         Self::default()
@@ -165,7 +165,7 @@
     /// request was then not queued.
     pub fn push(
         &mut self,
-        ask: &Ask,
+        ask: &QueueRequest,
         item: T,
         slots: u32,
         now: BootInstant,
@@ -203,7 +203,7 @@
     }
 
     /// Takes the request whose turn it is, and every one met on the way that would be late.
-    pub fn pop(&mut self, now: BootInstant) -> Popped<T> {
+    pub fn pop(&mut self, now: BootInstant) -> PopResult<T> {
         let mut late = Vec::new();
         while let Some((group, entry)) = self.pop_entry() {
             if !entry.item.is_wanted() {
@@ -215,9 +215,9 @@
                 continue;
             }
             let charge = self.charge_turn(group, cost);
-            return Popped { next: Some(Turn { item: entry.item, charge }), late };
+            return PopResult { next: Some(Dequeued { item: entry.item, charge }), late };
         }
-        Popped { next: None, late }
+        PopResult { next: None, late }
     }
 
     fn pop_entry(&mut self) -> Option<(GroupName, Entry<T>)> {
--- a/reachhead_path/src/loan.rs
+++ b/reachhead_path/src/loan.rs
@@ -11,7 +11,7 @@
 
 /// For how long a borrower may start requests on borrowed slots; shorter than any time to notice a
 /// new list of entry hosts.
-pub const LOAN_TERM: Duration = Duration::from_secs(1);
+pub const LOAN_DURATION: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone)]
 struct Loan {
@@ -50,7 +50,7 @@
     pub fn lend(
         &mut self,
         id: LoanId,
-        share: Share,
+        share: SlotUsage,
         want: u32,
         grace: Duration,
         now: BootInstant,
@@ -60,7 +60,7 @@
         let free = own.saturating_sub(share.running);
         let slots = want.min(free / 2);
         if slots > 0 {
-            self.lent.push(Loan { id, slots, until: now + LOAN_TERM + grace });
+            self.lent.push(Loan { id, slots, until: now + LOAN_DURATION + grace });
         }
         slots
     }
@@ -68,11 +68,11 @@
     /// Notes slots that were borrowed by a question asked at `asked`.
     pub fn borrow(&mut self, id: LoanId, slots: u32, asked: BootInstant, now: BootInstant) {
         self.expire(now);
-        self.borrowed.push(Loan { id, slots, until: asked + LOAN_TERM });
+        self.borrowed.push(Loan { id, slots, until: asked + LOAN_DURATION });
     }
 
     /// Takes back what was lent as `id`.
-    pub fn take_back(&mut self, id: LoanId) {
+    pub fn end_loan(&mut self, id: LoanId) {
         self.lent.retain(|loan| loan.id != id);
     }
 
@@ -84,7 +84,7 @@
 
 /// What a lender has of a minion.
 #[derive(Debug, Clone, Copy)]
-pub struct Share {
+pub struct SlotUsage {
     /// Its own slots.
     pub slots: u32,
     /// Requests that run there for it.
--- a/reachhead_path/src/retry.rs
+++ b/reachhead_path/src/retry.rs
@@ -2,10 +2,10 @@
 //! an overload.
 
 /// Retries earned by one success.
-pub const RETRY_SHARE: f64 = 0.1;
+pub const RETRIES_PER_SUCCESS: f64 = 0.1;
 
 /// Retries that a quiet service may make at once.
-pub const RETRY_RESERVE: f64 = 10.0;
+pub const MAX_RETRY_TOKENS: f64 = 10.0;
 
 /// What one service may still retry.
 #[derive(Debug, Clone)]
@@ -15,7 +15,7 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: RETRY_RESERVE }
+        Self { tokens: MAX_RETRY_TOKENS }
     }
 }
 
@@ -26,8 +26,8 @@
     }
 
     /// Notes a success.
-    pub fn succeed(&mut self) {
-        self.tokens = (self.tokens + RETRY_SHARE).min(RETRY_RESERVE);
+    pub fn record_success(&mut self) {
+        self.tokens = (self.tokens + RETRIES_PER_SUCCESS).min(MAX_RETRY_TOKENS);
     }
 
     /// Takes one retry, or tells that there is none left.
--- a/reachhead_path/src/share.rs
+++ b/reachhead_path/src/share.rs
@@ -22,7 +22,7 @@
 /// Each slot goes to the host with the highest score that has not its even part yet, so nobody is
 /// left without a slot while there are enough. The score is by name alone, so a host that comes
 /// back gets its slots back.
-pub fn owners(hosts: &[MemberId], minion: &str, slots: u32) -> Vec<usize> {
+pub fn slot_owners(hosts: &[MemberId], minion: &str, slots: u32) -> Vec<usize> {
     if hosts.is_empty() {
         return Vec::new();
     }
@@ -76,7 +76,12 @@
 
     /// Notes the list that is in force from `now` on, and this host's place on it, and tells
     /// whether it is a new one.
-    pub fn note(&mut self, hosts: Vec<MemberId>, own: Option<MemberId>, now: BootInstant) -> bool {
+    pub fn record_list(
+        &mut self,
+        hosts: Vec<MemberId>,
+        own: Option<MemberId>,
+        now: BootInstant,
+    ) -> bool {
         let Some(last) = self.lists.back_mut() else {
             return false;
         };
@@ -89,7 +94,7 @@
     }
 
     /// Forgets the lists that ended longer than `hold` before `now` and tells whether any did.
-    pub fn expire(&mut self, hold: Duration, now: BootInstant) -> bool {
+    pub fn expire_lists(&mut self, hold: Duration, now: BootInstant) -> bool {
         let before = self.lists.len();
         let is_over =
             |seen: &Seen| seen.until.is_some_and(|until| now.duration_since(until) >= hold);
@@ -100,7 +105,7 @@
     }
 
     /// Returns how many of `slots` of `minion` this host may use.
-    pub fn usable(&self, minion: &str, slots: u32) -> u32 {
+    pub fn usable_slots(&self, minion: &str, slots: u32) -> u32 {
         let Some(own) = self.lists.back().and_then(|last| last.own.as_ref()) else {
             return 0;
         };
@@ -109,7 +114,7 @@
             .lists
             .iter()
             .map(|seen| {
-                let owners = owners(&seen.hosts, minion, slots);
+                let owners = slot_owners(&seen.hosts, minion, slots);
                 owners.into_iter().map(|index| seen.hosts[index] == *own).collect()
             })
             .collect();
@@ -118,7 +123,7 @@
     }
 
     /// Tells whether a list other than the one in force still counts.
-    pub fn is_changing(&self) -> bool {
+    pub fn is_transitioning(&self) -> bool {
         self.lists.len() > 1
     }
 }
--- a/reachhead_path/tests/choice.rs
+++ b/reachhead_path/tests/choice.rs
@@ -7,9 +7,9 @@
 use quickcheck::{Arbitrary, Gen};
 use rand::{SeedableRng, rngs::SmallRng};
 use reachhead_path::{
-    eject::{Ejection, FAILURE_LIMIT, FIRST_TERM, LAST_TERM, Step},
+    eject::{Ejection, EjectionChange, FAILURE_LIMIT, MAX_EJECTION_TIME, MIN_EJECTION_TIME},
     pick::{Candidate, choose},
-    retry::{RETRY_RESERVE, RETRY_SHARE, RetryBudget},
+    retry::{MAX_RETRY_TOKENS, RETRIES_PER_SUCCESS, RetryBudget},
 };
 use reachhead_property::properties;
 use reachhead_types::boot_instant::BootInstant;
@@ -56,13 +56,13 @@
         let mut retries = 0.0;
         for is_success in results {
             if is_success {
-                budget.succeed();
+                budget.record_success();
                 successes += 1.0;
             } else if budget.take() {
                 retries += 1.0;
             }
         }
-        retries <= RETRY_RESERVE + successes * RETRY_SHARE + 1e-6
+        retries <= MAX_RETRY_TOKENS + successes * RETRIES_PER_SUCCESS + 1e-6
     }
 }
 
@@ -71,18 +71,18 @@
     let mut now = BootInstant::now();
     let mut ejection = Ejection::new();
     for _ in 1..FAILURE_LIMIT {
-        assert_eq!(ejection.fail(now), Step::Same);
+        assert_eq!(ejection.record_failure(now), EjectionChange::Unchanged);
     }
-    assert_eq!(ejection.fail(now), Step::Ejected);
-    let mut term = FIRST_TERM;
+    assert_eq!(ejection.record_failure(now), EjectionChange::Ejected);
+    let mut term = MIN_EJECTION_TIME;
     for _ in 0..10 {
         assert!(ejection.is_ejected(now + term - Duration::from_millis(1)));
         now += term;
         assert!(!ejection.is_ejected(now));
         // On probation one failure is enough.
-        assert_eq!(ejection.fail(now), Step::Ejected);
-        term = (term * 2).min(LAST_TERM);
+        assert_eq!(ejection.record_failure(now), EjectionChange::Ejected);
+        term = (term * 2).min(MAX_EJECTION_TIME);
     }
-    assert_eq!(ejection.succeed(), Step::Restored);
-    assert_eq!(ejection.fail(now), Step::Same);
+    assert_eq!(ejection.record_success(), EjectionChange::Restored);
+    assert_eq!(ejection.record_failure(now), EjectionChange::Unchanged);
 }
--- a/reachhead_path/tests/claim.rs
+++ b/reachhead_path/tests/claim.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use reachhead_path::claim::{Attempt, ClaimTable, Meeting};
+use reachhead_path::claim::{AttemptState, ClaimLookup, ClaimTable};
 use reachhead_property::properties;
 use reachhead_types::{
     boot_instant::BootInstant,
@@ -67,7 +67,7 @@
 
     fn request(&mut self, host: usize, action: u8) {
         let part = &mut self.hosts[host];
-        if part.active.is_some() || part.table.meet(KEY, PRINT) != Meeting::New {
+        if part.active.is_some() || part.table.look_up(KEY, PRINT) != ClaimLookup::New {
             return;
         }
         self.next += 1;
@@ -107,7 +107,7 @@
         let owner = &self.hosts[held.host];
         owner.incarnation == held.incarnation
             && !owner.is_paused
-            && owner.table.state(held.attempt) == Some(&Attempt::Abandoned)
+            && owner.table.state(held.attempt) == Some(&AttemptState::Abandoned)
     }
 
     fn give_up(&mut self, host: usize, attempt: AttemptId) {
@@ -126,7 +126,7 @@
         part.active = None;
         if part.table.send(attempt) {
             self.runs.push(attempt);
-            part.table.finish(attempt, Attempt::Lost);
+            part.table.finish(attempt, AttemptState::Lost);
         }
     }
 
@@ -174,13 +174,13 @@
     table.start(KEY, PRINT, first, now);
     assert!(table.abandon(first));
     assert!(!table.send(first));
-    assert_eq!(table.meet(KEY, PRINT), Meeting::New);
+    assert_eq!(table.look_up(KEY, PRINT), ClaimLookup::New);
     table.start(KEY, PRINT, second, now);
-    assert_eq!(table.state(first), Some(&Attempt::Abandoned));
+    assert_eq!(table.state(first), Some(&AttemptState::Abandoned));
     assert!(table.send(second));
     assert!(!table.send(second));
     assert!(!table.abandon(second));
-    assert_eq!(table.meet(KEY, Fingerprint(8)), Meeting::Reused);
+    assert_eq!(table.look_up(KEY, Fingerprint(8)), ClaimLookup::KeyReused);
 }
 
 #[test]
@@ -191,9 +191,9 @@
     table.start("a", PRINT, AttemptId(1), now);
     table.start("b", PRINT, AttemptId(2), now);
     assert!(table.send(AttemptId(2)));
-    table.finish(AttemptId(2), Attempt::Lost);
-    table.forget(keep, now + keep);
-    assert_eq!(table.state(AttemptId(1)), Some(&Attempt::Pending));
+    table.finish(AttemptId(2), AttemptState::Lost);
+    table.evict_ended(keep, now + keep);
+    assert_eq!(table.state(AttemptId(1)), Some(&AttemptState::Pending));
     assert_eq!(table.state(AttemptId(2)), None);
     assert_eq!(table.len(), 1);
 }
--- a/reachhead_path/tests/fair.rs
+++ b/reachhead_path/tests/fair.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use quickcheck::TestResult;
-use reachhead_path::fair::{Ask, FairQueue, QueueError, Waiting};
+use reachhead_path::fair::{FairQueue, QueueError, QueueItem, QueueRequest};
 use reachhead_property::properties;
 use reachhead_types::{boot_instant::BootInstant, fleet::Class, id::GroupName, size::Weight};
 
@@ -15,7 +15,7 @@
     is_wanted: bool,
 }
 
-impl Waiting for Item {
+impl QueueItem for Item {
     fn is_wanted(&self) -> bool {
         self.is_wanted
     }
@@ -25,8 +25,8 @@
     format!("g{number}").parse().unwrap()
 }
 
-fn ask(number: u8, class: usize, deadline: BootInstant) -> Ask {
-    Ask { group: group(number), class: Class::ALL[class % 3], deadline }
+fn ask(number: u8, class: usize, deadline: BootInstant) -> QueueRequest {
+    QueueRequest { group: group(number), class: Class::ALL[class % 3], deadline }
 }
 
 const COST: Duration = Duration::from_millis(5);
--- a/reachhead_path/tests/loan.rs
+++ b/reachhead_path/tests/loan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachhead_path::loan::{LOAN_TERM, LoanTable, Share};
+use reachhead_path::loan::{LOAN_DURATION, LoanTable, SlotUsage};
 use reachhead_property::properties;
 use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 
@@ -52,14 +52,14 @@
                 2 => {
                     next += 1;
                     let lender = &mut hosts[other];
-                    let share = Share { slots: lender.share, running: lender.running(now) };
+                    let share = SlotUsage { slots: lender.share, running: lender.running(now) };
                     let lent = lender.table.lend(LoanId(next), share, 4, GRACE, now);
                     // The question was on its way for a while; the answer is noted later.
                     let asked = now - Duration::from_millis(50);
                     let later = now + Duration::from_millis(u64::from(time) % 200);
                     hosts[host].table.borrow(LoanId(next), lent, asked, later);
                 }
-                _ => now += LOAN_TERM / 4,
+                _ => now += LOAN_DURATION / 4,
             }
             let running: u32 = hosts.iter().map(|host| host.running(now)).sum();
             running <= 8
@@ -71,17 +71,17 @@
 fn a_loan_ends_by_the_return_or_by_the_term_and_the_grace() {
     let now = BootInstant::now();
     let mut lender = LoanTable::new();
-    let share = Share { slots: 8, running: 2 };
+    let share = SlotUsage { slots: 8, running: 2 };
     assert_eq!(lender.lend(LoanId(1), share, 10, GRACE, now), 3);
     assert_eq!(lender.limit(8, now), 5);
-    lender.take_back(LoanId(1));
+    lender.end_loan(LoanId(1));
     assert_eq!(lender.limit(8, now), 8);
     assert_eq!(lender.lend(LoanId(2), share, 1, GRACE, now), 1);
-    let end = now + LOAN_TERM + GRACE;
+    let end = now + LOAN_DURATION + GRACE;
     assert_eq!(lender.limit(8, end - Duration::from_millis(1)), 7);
     assert_eq!(lender.limit(8, end), 8);
     let mut borrower = LoanTable::new();
     borrower.borrow(LoanId(2), 1, now, now);
     assert_eq!(borrower.limit(2, now), 3);
-    assert_eq!(borrower.limit(2, now + LOAN_TERM), 2);
+    assert_eq!(borrower.limit(2, now + LOAN_DURATION), 2);
 }
--- a/reachhead_path/tests/share.rs
+++ b/reachhead_path/tests/share.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use quickcheck::TestResult;
-use reachhead_path::share::{ShareHistory, owners, score};
+use reachhead_path::share::{ShareHistory, score, slot_owners};
 use reachhead_property::properties;
 use reachhead_types::{boot_instant::BootInstant, id::Incarnation, member::MemberId};
 
@@ -42,13 +42,13 @@
     fn owners_are_those_of_the_naive_version(count: u8, slots: u8) -> bool {
         let hosts: Vec<MemberId> = (0..count % 12).map(host).collect();
         let slots = u32::from(slots % 40);
-        owners(&hosts, "alpha/m1", slots) == naive_owners(&hosts, "alpha/m1", slots)
+        slot_owners(&hosts, "alpha/m1", slots) == naive_owners(&hosts, "alpha/m1", slots)
     }
 
     fn parts_are_even_to_within_one_round(count: u8, slots: u8) -> bool {
         let hosts: Vec<MemberId> = (0..count % 12 + 1).map(host).collect();
         let slots = u32::from(slots);
-        let owners = owners(&hosts, "alpha/m1", slots);
+        let owners = slot_owners(&hosts, "alpha/m1", slots);
         let even = slots.div_ceil(hosts.len() as u32) as usize;
         (0..hosts.len())
             .all(|index| owners.iter().filter(|&&owner| owner == index).count() <= even)
@@ -63,9 +63,9 @@
             .iter()
             .map(|own| {
                 let mut shares = ShareHistory::new();
-                shares.note(hosts.clone(), Some(own.clone()), now);
-                shares.expire(hold, now + hold);
-                shares.usable("alpha/m1", u32::from(slots))
+                shares.record_list(hosts.clone(), Some(own.clone()), now);
+                shares.expire_lists(hold, now + hold);
+                shares.usable_slots("alpha/m1", u32::from(slots))
             })
             .sum();
         TestResult::from_bool(used == u32::from(slots))
@@ -110,10 +110,10 @@
                 if let Some(list) = seen {
                     let name = host(number as u8).host;
                     let own = list.iter().find(|member| member.host == name).cloned();
-                    share.note(list.clone(), own, now);
+                    share.record_list(list.clone(), own, now);
                 }
-                share.expire(Duration::from_millis(HOLD), now);
-                used += share.usable("alpha/m1", 8);
+                share.expire_lists(Duration::from_millis(HOLD), now);
+                used += share.usable_slots("alpha/m1", 8);
             }
             used <= 8
         })
@@ -125,22 +125,22 @@
     let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
-    shares.note(vec![host(1)], Some(host(1)), now);
-    assert_eq!(shares.usable("alpha/m1", 8), 0);
-    assert!(!shares.expire(hold, now + hold / 2));
-    assert!(shares.expire(hold, now + hold));
-    assert_eq!(shares.usable("alpha/m1", 8), 8);
+    shares.record_list(vec![host(1)], Some(host(1)), now);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 0);
+    assert!(!shares.expire_lists(hold, now + hold / 2));
+    assert!(shares.expire_lists(hold, now + hold));
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
 }
 
 #[test]
 fn a_host_off_the_list_stops_at_once() {
     let now = BootInstant::now();
     let mut shares = ShareHistory::new();
-    shares.note(vec![host(1), host(2)], Some(host(1)), now);
-    shares.expire(Duration::ZERO, now);
-    assert!(shares.usable("alpha/m1", 64) > 0);
-    shares.note(vec![host(2)], None, now);
-    assert_eq!(shares.usable("alpha/m1", 64), 0);
+    shares.record_list(vec![host(1), host(2)], Some(host(1)), now);
+    shares.expire_lists(Duration::ZERO, now);
+    assert!(shares.usable_slots("alpha/m1", 64) > 0);
+    shares.record_list(vec![host(2)], None, now);
+    assert_eq!(shares.usable_slots("alpha/m1", 64), 0);
 }
 
 #[test]
@@ -148,14 +148,14 @@
     let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
-    shares.note(vec![stay(1, 1)], Some(stay(1, 1)), now);
-    shares.expire(hold, now + hold);
-    assert_eq!(shares.usable("alpha/m1", 8), 8);
+    shares.record_list(vec![stay(1, 1)], Some(stay(1, 1)), now);
+    shares.expire_lists(hold, now + hold);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
     // It was paused, taken off and is back; meanwhile another may have used the slots.
-    shares.note(vec![stay(1, 2)], Some(stay(1, 2)), now + hold);
-    assert_eq!(shares.usable("alpha/m1", 8), 0);
-    shares.expire(hold, now + hold * 2);
-    assert_eq!(shares.usable("alpha/m1", 8), 8);
+    shares.record_list(vec![stay(1, 2)], Some(stay(1, 2)), now + hold);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 0);
+    shares.expire_lists(hold, now + hold * 2);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
 }
 
 /// Joining and leaving move few slots: what a change moves is out of use for the hold.
@@ -168,8 +168,8 @@
         let minions = 100;
         for minion in 0..minions {
             let minion = format!("alpha/m{minion}");
-            let old = owners(&before, &minion, 8);
-            let new = owners(&after, &minion, 8);
+            let old = slot_owners(&before, &minion, 8);
+            let new = slot_owners(&after, &minion, 8);
             moved += (0..8).filter(|&slot| before[old[slot]] != after[new[slot]]).count();
         }
         let share = moved as f64 / f64::from(8 * minions);
