--- a/reachhead_pool/src/budget.rs
+++ b/reachhead_pool/src/budget.rs
@@ -1,8 +1,9 @@
-//! Availability budgets: how many minions of a service may be away at once, over all pools.
+//! Availability budgets: how many minions of a service may be unavailable at once, across all pools.
 //!
-//! What planned work spends is a row of the store for each service, written in the same transaction
-//! that lets a host be drained, so no two owners of pools can both spend the last unit. What fails
-//! unplanned is on the platform's host list and counts as well. docs/WAVES.md has the rules.
+//! Planned disruptions are recorded in one budget row per service. The row is written in the same
+//! transaction that starts the drain of a host, so two pool owners can't both spend the last unit.
+//! Unplanned failures come from the platform's host list and count against the budget as well.
+//! docs/WAVES.md has the rules.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,31 +16,32 @@
     pool::BudgetRow,
 };
 
-/// A service as its budget sees it.
+/// The disruption budget of a service and the hosts of its minions.
 #[derive(Debug, Clone, Default)]
-struct Load {
+struct ServicePlacement {
+    /// Minions that may be unavailable at once.
     limit: usize,
-    /// The minions on each host.
+    /// Number of minions by host.
     hosts: BTreeMap<HostId, usize>,
-    /// Minions that operators take out themselves, wherever they are.
+    /// Number of minions that operators remove by hand, by host if they have one.
     leaving: BTreeMap<Option<HostId>, usize>,
 }
 
-/// Which services have minions on which hosts, by one version of the configuration.
+/// The hosts of the minions of each service, at one version of the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct MinionPlacements {
-    services: BTreeMap<ServiceName, Load>,
+    services: BTreeMap<ServiceName, ServicePlacement>,
     by_host: BTreeMap<HostId, BTreeSet<ServiceName>>,
 }
 
-/// What keeps a host from being drained.
+/// A budget that would be exceeded if a host was drained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainBlocker {
-    /// The service whose budget would not hold.
+    /// The service whose budget would be exceeded.
     pub service: ServiceName,
-    /// Its minions that would be away.
+    /// Minions of the service that would be unavailable.
     pub away: usize,
-    /// Its minions that may be.
+    /// Minions of the service that may be unavailable at once.
     pub limit: usize,
 }
 
@@ -50,33 +52,36 @@
     }
 }
 
-/// How urgent it is to begin with a host; the larger comes first.
+/// The priority of a host in a maintenance wave; the largest is drained first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority {
-    /// Batches that the service with the most left to do needs.
-    most: usize,
-    /// Batches that all services on the host need.
-    sum: usize,
+    /// Remaining batches of the service on the host that has the most of them.
+    max_batches: usize,
+    /// Sum of the remaining batches of all services on the host.
+    total_batches: usize,
 }
 
 impl MinionPlacements {
-    /// Returns the loads of `fleet`.
+    /// Returns the placements of the minions of `fleet`.
     pub fn new(fleet: &Fleet) -> Self {
-        let mut loads = Self::default();
+        let mut placements = Self::default();
         for (name, service) in &fleet.services {
-            let mut load = Load { limit: service.row.max_unavailable as usize, ..Load::default() };
+            let mut placement = ServicePlacement {
+                limit: service.row.max_unavailable as usize,
+                ..ServicePlacement::default()
+            };
             for minion in service.minions.values() {
                 if minion.state == MinionState::Leaving {
-                    *load.leaving.entry(minion.host.clone()).or_default() += 1;
+                    *placement.leaving.entry(minion.host.clone()).or_default() += 1;
                 }
                 if let Some(host) = &minion.host {
-                    *load.hosts.entry(host.clone()).or_default() += 1;
-                    loads.by_host.entry(host.clone()).or_default().insert(name.clone());
+                    *placement.hosts.entry(host.clone()).or_default() += 1;
+                    placements.by_host.entry(host.clone()).or_default().insert(name.clone());
                 }
             }
-            loads.services.insert(name.clone(), load);
+            placements.services.insert(name.clone(), placement);
         }
-        loads
+        placements
     }
 
     /// Returns the services with minions on `host`.
@@ -84,80 +89,87 @@
         self.by_host.get(host).into_iter().flatten()
     }
 
-    /// Returns how many minions of `service` are away when the `held` hosts and those that are
-    /// `gone` are.
+    /// Returns how many minions of `service` are unavailable if the hosts in `draining`, which hold a
+    /// part of its budget, and those in `unavailable` are out of service.
     pub fn count_unavailable(
         &self,
         service: &ServiceName,
-        held: &BTreeSet<HostId>,
-        gone: &BTreeSet<HostId>,
+        draining: &BTreeSet<HostId>,
+        unavailable: &BTreeSet<HostId>,
     ) -> usize {
-        let Some(load) = self.services.get(service) else {
+        let Some(placement) = self.services.get(service) else {
             return 0;
         };
-        let is_away = |host: &HostId| held.contains(host) || gone.contains(host);
+        let is_out = |host: &HostId| draining.contains(host) || unavailable.contains(host);
         let on_hosts: usize =
-            load.hosts.iter().filter(|(host, _)| is_away(host)).map(|(_, count)| count).sum();
-        let is_counted = |host: &Option<HostId>| host.as_ref().is_some_and(is_away);
-        let by_hand: usize =
-            load.leaving.iter().filter(|(host, _)| !is_counted(host)).map(|(_, count)| count).sum();
-        on_hosts + by_hand
+            placement.hosts.iter().filter(|(host, _)| is_out(host)).map(|(_, count)| count).sum();
+        let is_counted = |host: &Option<HostId>| host.as_ref().is_some_and(is_out);
+        let removed_by_hand: usize = placement
+            .leaving
+            .iter()
+            .filter(|(host, _)| !is_counted(host))
+            .map(|(_, count)| count)
+            .sum();
+        on_hosts + removed_by_hand
     }
 
-    /// Returns what keeps `host` from being drained, with the budgets of its services as they are
-    /// spent; a service whose budget is not among them keeps it too.
+    /// Returns the first budget that draining `host` would exceed, or `None` if it may be drained.
+    ///
+    /// `budgets` must have the row of each service on the host; a service without a row is skipped.
     pub fn drain_blocker(
         &self,
         host: &HostId,
         budgets: &Budgets,
-        gone: &BTreeSet<HostId>,
+        unavailable: &BTreeSet<HostId>,
     ) -> Option<DrainBlocker> {
         self.services_on(host).find_map(|service| {
             let limit = self.limit(service);
-            let mut held = budgets.get(service)?.held.clone();
-            held.insert(host.clone());
-            let away = self.count_unavailable(service, &held, gone);
+            let mut draining = budgets.get(service)?.held.clone();
+            draining.insert(host.clone());
+            let away = self.count_unavailable(service, &draining, unavailable);
             (away > limit).then(|| DrainBlocker { service: service.clone(), away, limit })
         })
     }
 
-    /// Returns how urgent it is for a wave to begin with `host`, when the hosts in `left` are still to
-    /// be done: the batches that its services need at least. The service with the most left decides
-    /// how long the wave takes, so its hosts must never be the ones that wait.
-    pub fn priority(&self, host: &HostId, left: &BTreeSet<HostId>) -> Priority {
+    /// Returns the priority of `host` in a wave that has yet to drain the hosts in `remaining`.
+    ///
+    /// A service needs at least as many batches as its remaining minions fill its budget. The service
+    /// with the most batches determines how long the wave takes, so its hosts must not be the ones
+    /// that wait.
+    pub fn priority(&self, host: &HostId, remaining: &BTreeSet<HostId>) -> Priority {
         let batches = |service: &ServiceName| {
-            let load = self.services.get(service);
-            let undone = load.map_or(0, |load| {
-                let hosts = load.hosts.iter().filter(|(host, _)| left.contains(*host));
+            let placement = self.services.get(service);
+            let minions = placement.map_or(0, |placement| {
+                let hosts = placement.hosts.iter().filter(|(host, _)| remaining.contains(*host));
                 hosts.map(|(_, count)| count).sum()
             });
-            undone.div_ceil(self.limit(service).max(1))
+            minions.div_ceil(self.limit(service).max(1))
         };
         let batches: Vec<usize> = self.services_on(host).map(batches).collect();
         Priority {
-            most: batches.iter().copied().max().unwrap_or_default(),
-            sum: batches.iter().sum(),
+            max_batches: batches.iter().copied().max().unwrap_or_default(),
+            total_batches: batches.iter().sum(),
         }
     }
 
-    /// Returns by how many minions the budget of a service is overspent, those aside that come back
-    /// with the `returning` hosts.
+    /// Returns by how many minions the budget of `service` is exceeded, not counting those on the
+    /// `returning` hosts, which become available again.
     pub fn overspent_by(
         &self,
         service: &ServiceName,
         row: &BudgetRow,
-        gone: &BTreeSet<HostId>,
+        unavailable: &BTreeSet<HostId>,
         returning: &BTreeSet<HostId>,
     ) -> usize {
-        let held: BTreeSet<HostId> = row.held.difference(returning).cloned().collect();
-        let gone: BTreeSet<HostId> = gone.difference(returning).cloned().collect();
-        self.count_unavailable(service, &held, &gone).saturating_sub(self.limit(service))
+        let draining: BTreeSet<HostId> = row.held.difference(returning).cloned().collect();
+        let unavailable: BTreeSet<HostId> = unavailable.difference(returning).cloned().collect();
+        self.count_unavailable(service, &draining, &unavailable).saturating_sub(self.limit(service))
     }
 
     fn limit(&self, service: &ServiceName) -> usize {
-        self.services.get(service).map_or(0, |load| load.limit)
+        self.services.get(service).map_or(0, |placement| placement.limit)
     }
 }
 
-/// The budgets of some services as they are spent.
+/// Budget rows by service.
 pub type Budgets = BTreeMap<ServiceName, BudgetRow>;
--- a/reachhead_pool/src/controller/leases.rs
+++ b/reachhead_pool/src/controller/leases.rs
@@ -1,4 +1,4 @@
-//! Taking, keeping and handing over the charge of a pool.
+//! Acquiring, keeping and releasing the leases of pools.
 
 use std::collections::BTreeMap;
 
@@ -15,13 +15,13 @@
 };
 
 use crate::{
-    controller::{Controller, Held, PoolEvent, RoundInput},
+    controller::{Controller, OwnedPool, PoolEvent, RoundInput},
     lease::{self, LeaseStep},
 };
 
 impl Controller {
-    /// Brings the lease of `pool` to where it should be and tells whether this host is in charge.
-    pub(super) async fn keep_lease(
+    /// Reconciles the lease of `pool` and returns whether this host owns the pool.
+    pub(super) async fn reconcile_lease(
         &mut self,
         input: &RoundInput,
         own: &MemberId,
@@ -32,49 +32,51 @@
         let is_overdue = self.is_overdue(pool);
         let step = lease::next_step(own, pool, &input.candidates, lease.as_ref(), is_overdue);
         if step != LeaseStep::Wait {
-            self.awaited.remove(pool);
+            self.awaited_since.remove(pool);
         }
         match (step, row, lease) {
             (LeaseStep::Keep, Some(row), Some(lease)) => {
-                self.note_held(pool, row.revision, lease.epoch);
+                self.record_owned(pool, row.revision, lease.epoch);
                 Ok(true)
             }
             (LeaseStep::Acquire, row, lease) => {
                 self.take(own, pool, row, lease.unwrap_or_default()).await
             }
             (LeaseStep::Release, Some(row), Some(lease)) => {
-                self.note_ended(pool);
+                self.record_lost(pool);
                 self.release(pool, row.revision, lease.epoch).await?;
                 Ok(false)
             }
             _ => {
-                self.note_ended(pool);
+                self.record_lost(pool);
                 Ok(false)
             }
         }
     }
 
-    /// Tells whether another host has had for too long what should be this host's.
+    /// Returns whether another host has owned the pool for longer than the hand-over timeout although
+    /// this host is preferred.
     fn is_overdue(&mut self, pool: &PoolName) -> bool {
-        let since = self.awaited.entry(pool.clone()).or_insert_with(BootInstant::now);
+        let since = self.awaited_since.entry(pool.clone()).or_insert_with(BootInstant::now);
         since.elapsed() >= self.limits.hand_over_timeout
     }
 
-    fn note_ended(&mut self, pool: &PoolName) {
-        if self.held.remove(pool).is_some() {
+    fn record_lost(&mut self, pool: &PoolName) {
+        if self.owned.remove(pool).is_some() {
             self.events.push(PoolEvent::LeaseEnded(pool.clone()));
         }
     }
 
-    fn note_held(&mut self, pool: &PoolName, lease: Revision, epoch: Epoch) {
-        if self.held.get(pool).is_some_and(|held| held.lease == lease) {
+    fn record_owned(&mut self, pool: &PoolName, lease: Revision, epoch: Epoch) {
+        if self.owned.get(pool).is_some_and(|owned| owned.lease == lease) {
             return;
         }
-        let held = Held { lease, epoch, head: None, hosts: BTreeMap::new() };
-        self.held.insert(pool.clone(), held);
+        let owned = OwnedPool { lease, epoch, head: None, hosts: BTreeMap::new() };
+        self.owned.insert(pool.clone(), owned);
         self.events.push(PoolEvent::LeaseTaken(pool.clone(), epoch));
     }
 
+    /// Acquires the lease and returns whether this host holds it now.
     async fn take(
         &mut self,
         own: &MemberId,
@@ -88,13 +90,14 @@
             .with_write(keys::lease(pool), json(&lease));
         match self.store.commit(txn).await? {
             Commit::Done(revision) => {
-                self.note_held(pool, revision, lease.epoch);
+                self.record_owned(pool, revision, lease.epoch);
                 Ok(true)
             }
             Commit::Conflict(_) => Ok(false),
         }
     }
 
+    /// Clears the owner of the lease, so that another host can acquire it at once.
     pub(super) async fn release(
         &self,
         pool: &PoolName,
@@ -105,7 +108,7 @@
         let txn = Txn::new()
             .with_check(keys::lease(pool), Some(revision))
             .with_write(keys::lease(pool), json(&lease));
-        // A conflict means that someone else has taken it already.
+        // A conflict means that another host has already acquired the lease.
         self.store.commit(txn).await.map(drop)
     }
 }
--- a/reachhead_pool/src/controller/mod.rs
+++ b/reachhead_pool/src/controller/mod.rs
@@ -1,7 +1,8 @@
-//! One entry host's part in looking after pools: leases, then a step for each host on its way.
+//! The pool controller of one entry host: reconciles leases, then the hosts of the pools that it owns.
 //!
-//! A round reads the lease and the head of the pools that concern this host in one call; hosts are
-//! read again only when the head moved. Nothing is kept that a round could not find out again.
+//! A round reads the lease, head and wave rows of all relevant pools in one call. The hosts of a pool
+//! are read again only if its head has changed. All state can be rebuilt from the store, so a restarted
+//! controller needs nothing else.
 
 mod leases;
 mod steps;
@@ -35,96 +36,101 @@
     lease::{self, Candidate},
 };
 
-/// Rows that are read for each pool.
+/// Rows that a round reads per pool: lease, head and wave.
 const ROWS_PER_POOL: usize = 3;
 
-/// What this entry host knows when a round begins.
+/// The input of a round, taken from the configuration and the membership list.
 #[derive(Debug, Clone, Default)]
 pub struct RoundInput {
-    /// This host's stay on the list; `None` while it has none, when it is in charge of nothing.
+    /// This host and its incarnation on the membership list; `None` if it is not on the list, so that
+    /// it can't own a pool.
     pub own: Option<MemberId>,
-    /// The entry hosts on the list.
+    /// The entry hosts on the membership list.
     pub candidates: Vec<Candidate>,
     /// The pools of the configuration.
     pub pools: Vec<PoolName>,
-    /// The hosts that are leaving by the platform's list.
+    /// The hosts that the platform's list reports as leaving.
     pub leaving: BTreeSet<HostId>,
-    /// Which services have minions on which hosts.
+    /// The hosts of the minions of each service.
     pub placements: Arc<MinionPlacements>,
 }
 
-/// Something that operators should hear of.
+/// A change that is reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoolEvent {
-    /// This host is in charge of a pool from now on.
+    /// This host became the owner of a pool.
     LeaseTaken(PoolName, Epoch),
-    /// This host is not in charge of a pool any more.
+    /// This host is no longer the owner of a pool.
     LeaseEnded(PoolName),
-    /// A host changed its phase.
+    /// A host entered a phase.
     HostEntered(HostId, HostPhase),
-    /// A host changed its pool.
+    /// A host moved to another pool.
     HostMoved(HostId, PoolName),
 }
 
-/// A pool that this host is in charge of.
-struct Held {
+/// A pool that this host owns.
+struct OwnedPool {
+    /// Revision of the lease row, the fencing token of all writes for the pool.
     lease: Revision,
     epoch: Epoch,
-    /// The head's revision when the hosts were read; `None` before they were.
+    /// The head of the pool when its hosts were read; `None` if they must be read again.
     head: Option<Head>,
-    hosts: BTreeMap<HostId, Tracked>,
+    hosts: BTreeMap<HostId, TrackedHost>,
 }
 
+/// The revision of the head row of a pool; `None` if there is no row yet.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Head(Option<Revision>);
 
-struct Tracked {
+/// A host of an owned pool, with the times for which its state has been observed.
+struct TrackedHost {
     host: Host,
-    /// Since when it has been seen drained, by this process's clock.
+    /// When the host was first observed drained, by the clock of this process.
     drained_since: Option<BootInstant>,
-    /// Since when a budget that it spends has been seen overspent.
+    /// When a budget that the host spends was first observed exceeded.
     overspent_since: Option<BootInstant>,
 }
 
-/// A pool in charge, for operators.
+/// The state of an owned pool, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct PoolState {
     /// The pool.
     pub pool: PoolName,
-    /// How often it has changed hands.
+    /// How often its owner has changed.
     pub epoch: Epoch,
-    /// Its hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Hosts that are on their way.
+    /// Hosts in maintenance or with a pending move.
     pub moving: Vec<HostId>,
 }
 
-/// How long things take.
+/// Time limits and batch size of a controller.
 #[derive(Debug, Clone, Copy)]
 pub struct ControllerLimits {
-    /// How long a host must be seen drained before it counts as empty.
+    /// How long a host must be observed drained before it counts as empty.
     pub drain: Duration,
-    /// How long an owner that is there may take to hand a pool over.
+    /// How long a live owner may take to hand a pool over to the preferred host.
     pub hand_over_timeout: Duration,
-    /// How long a budget must be seen overspent before a drain is taken back: the host list lags.
+    /// How long a budget must be observed exceeded before a drain is cancelled, since the host list
+    /// lags behind.
     pub overspend_confirmation: Duration,
-    /// Hosts of a pool that a wave has on their way at once, whatever the budgets allow.
+    /// Maximum number of hosts per pool that a wave processes at once, even if budgets allow more.
     pub max_wave_hosts: usize,
 }
 
-/// Looks after the pools that fall to one entry host.
+/// Manages the pools that one entry host owns.
 pub struct Controller {
     store: Arc<dyn Store>,
     platform: Arc<dyn Platform>,
     limits: ControllerLimits,
-    held: BTreeMap<PoolName, Held>,
-    /// Since when pools that should be this host's have been others'.
-    awaited: BTreeMap<PoolName, BootInstant>,
+    owned: BTreeMap<PoolName, OwnedPool>,
+    /// When each pool that prefers this host was first observed with another owner.
+    awaited_since: BTreeMap<PoolName, BootInstant>,
     events: Vec<PoolEvent>,
 }
 
 impl Controller {
-    /// Returns a controller that is in charge of nothing yet.
+    /// Returns a controller that owns no pool yet.
     pub fn new(
         store: Arc<dyn Store>,
         platform: Arc<dyn Platform>,
@@ -134,63 +140,64 @@
             store,
             platform,
             limits,
-            held: BTreeMap::new(),
-            awaited: BTreeMap::new(),
+            owned: BTreeMap::new(),
+            awaited_since: BTreeMap::new(),
             events: Vec::new(),
         }
     }
 
-    /// Returns the pools that this host is in charge of.
+    /// Returns the state of the pools that this host owns.
     pub fn state(&self) -> Vec<PoolState> {
-        let state = |(pool, held): (&PoolName, &Held)| PoolState {
+        let state = |(pool, owned): (&PoolName, &OwnedPool)| PoolState {
             pool: pool.clone(),
-            epoch: held.epoch,
-            hosts: held.hosts.len(),
-            moving: held.moving().cloned().collect(),
+            epoch: owned.epoch,
+            hosts: owned.hosts.len(),
+            moving: owned.moving().cloned().collect(),
         };
-        self.held.iter().map(state).collect()
+        self.owned.iter().map(state).collect()
     }
 
-    /// Tells whether no host of this host's pools is on its way.
+    /// Returns whether no host of an owned pool is in maintenance or has a pending move.
     pub fn is_idle(&self) -> bool {
-        self.held.values().all(|held| held.moving().next().is_none())
+        self.owned.values().all(|owned| owned.moving().next().is_none())
     }
 
-    /// Does one round and returns what happened.
+    /// Runs one round and returns the resulting events.
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]; the next round finds out how far this one came.
+    /// Returns any [`StoreError`]; the round may have been applied in part, and the next one continues
+    /// from the stored rows.
     pub async fn round(&mut self, input: &RoundInput) -> Result<Vec<PoolEvent>, StoreError> {
         let result = self.try_round(input).await;
         let events = std::mem::take(&mut self.events);
         result.map(|()| events)
     }
 
-    /// Hands over every pool, as a host does that is about to end.
+    /// Releases every lease, so that other hosts can acquire the pools before this one shuts down.
     pub async fn release_all(&mut self) {
-        for (pool, held) in std::mem::take(&mut self.held) {
-            if let Err(error) = self.release(&pool, held.lease, held.epoch).await {
-                debug!("handing over {pool}: {error}");
+        for (pool, owned) in std::mem::take(&mut self.owned) {
+            if let Err(error) = self.release(&pool, owned.lease, owned.epoch).await {
+                debug!("release of the lease of pool {pool} failed: {error}");
             }
         }
     }
 
     async fn try_round(&mut self, input: &RoundInput) -> Result<(), StoreError> {
         let Some(own) = &input.own else {
-            for pool in std::mem::take(&mut self.held).into_keys() {
+            for pool in std::mem::take(&mut self.owned).into_keys() {
                 self.events.push(PoolEvent::LeaseEnded(pool));
             }
             return Ok(());
         };
-        let concerns = |pool: &&PoolName| {
+        let is_relevant = |pool: &&PoolName| {
             let is_preferred = lease::preferred_owner(pool, &input.candidates) == Some(own);
-            is_preferred || self.held.contains_key(*pool)
+            is_preferred || self.owned.contains_key(*pool)
         };
-        let pools: Vec<PoolName> = input.pools.iter().filter(concerns).cloned().collect();
-        // A pool that was deleted had no hosts left.
-        self.held.retain(|pool, _| pools.contains(pool));
-        self.awaited.retain(|pool, _| pools.contains(pool));
+        let pools: Vec<PoolName> = input.pools.iter().filter(is_relevant).cloned().collect();
+        // Only pools without hosts can be deleted, so nothing is left to do for a deleted pool.
+        self.owned.retain(|pool, _| pools.contains(pool));
+        self.awaited_since.retain(|pool, _| pools.contains(pool));
         if pools.is_empty() {
             return Ok(());
         }
@@ -201,42 +208,46 @@
         for (pool, rows) in pools.iter().zip(rows.chunks(ROWS_PER_POOL)) {
             let [lease, head, wave] = rows else { continue };
             let head = Head(head.as_ref().map(|row| row.revision));
-            // A row of another release must neither be taken for a free lease nor for no wave.
+            // A row that this release can't parse fails the round: it must count neither as a free lease
+            // nor as the absence of a wave.
             let wave: Option<WaveRow> = wave.as_ref().map(Row::parse).transpose()?;
-            if self.keep_lease(input, own, pool, lease.as_ref()).await? {
-                self.look_after(input, pool, head, wave.as_ref()).await?;
+            if self.reconcile_lease(input, own, pool, lease.as_ref()).await? {
+                self.reconcile_hosts(input, pool, head, wave.as_ref()).await?;
             }
         }
         Ok(())
     }
 }
 
-impl Held {
+impl OwnedPool {
+    /// Returns the hosts in maintenance or with a pending move.
     fn moving(&self) -> impl Iterator<Item = &HostId> {
         self.hosts.iter().filter(|(_, tracked)| tracked.is_moving()).map(|(id, _)| id)
     }
 
-    /// Takes over rows that were read; how long a host has been seen drained stays known.
-    fn read(&mut self, hosts: Vec<Host>) {
-        let mut before = std::mem::take(&mut self.hosts);
+    /// Replaces the hosts by rows that were just read; observation times of hosts that stayed in the
+    /// pool are kept.
+    fn update_hosts(&mut self, hosts: Vec<Host>) {
+        let mut previous = std::mem::take(&mut self.hosts);
         for host in hosts {
-            let known = before.remove(&host.id);
-            let is_same = |tracked: &Tracked| tracked.host.row.epoch == host.row.epoch;
-            let known = known.filter(is_same);
+            let known = previous.remove(&host.id);
+            let is_same_epoch = |tracked: &TrackedHost| tracked.host.row.epoch == host.row.epoch;
+            let known = known.filter(is_same_epoch);
             let drained_since = known.as_ref().and_then(|tracked| tracked.drained_since);
             let overspent_since = known.and_then(|tracked| tracked.overspent_since);
             let id = host.id.clone();
-            self.hosts.insert(id, Tracked { host, drained_since, overspent_since });
+            self.hosts.insert(id, TrackedHost { host, drained_since, overspent_since });
         }
     }
 }
 
-impl Tracked {
+impl TrackedHost {
     fn is_moving(&self) -> bool {
         self.host.row.phase != HostPhase::Serving || self.host.row.want.is_some()
     }
 
-    /// Notes what is seen of the host now; `confirm` is how long a budget must be overspent.
+    /// Records the current status of the host and returns its observation; a budget must be exceeded for
+    /// `confirm` before it is reported as overspent.
     fn observe(
         &mut self,
         status: Option<HostStatus>,
--- a/reachhead_pool/src/controller/steps.rs
+++ b/reachhead_pool/src/controller/steps.rs
@@ -1,4 +1,4 @@
-//! A step for each host on its way, and the hosts that set out.
+//! The steps of hosts that are in maintenance or moving, and the start of new drains.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -16,23 +16,23 @@
 
 use crate::{
     budget::{Budgets, MinionPlacements},
-    controller::{Controller, Head, Held, PoolEvent, RoundInput, Tracked},
+    controller::{Controller, Head, OwnedPool, PoolEvent, RoundInput, TrackedHost},
     host::{self, HostStep},
 };
 
-/// The budgets that the steps of a round look at, as they were read and written since.
+/// The budget rows that matter in a round, kept up to date with the writes of the round.
 struct BudgetCache {
     rows: Vec<BudgetWrite>,
 }
 
-/// What a round knows of the hosts of a pool beside their rows.
+/// The state of a round for one pool, beside the rows of its hosts.
 struct Round<'r> {
     pool: &'r PoolName,
     wave: Option<&'r WaveRow>,
-    loads: &'r MinionPlacements,
-    /// Hosts that are away as far as is known, planned or not.
-    gone: BTreeSet<HostId>,
-    /// Hosts that will be back without further ado.
+    placements: &'r MinionPlacements,
+    /// Hosts that are known to be unavailable, planned or not.
+    unavailable: BTreeSet<HostId>,
+    /// Hosts that are about to return to service.
     returning: BTreeSet<HostId>,
     cache: BudgetCache,
 }
@@ -42,8 +42,9 @@
         self.rows.iter().map(|budget| (budget.service.clone(), budget.row.clone())).collect()
     }
 
-    /// Notes that the rows of `services` were written; `None` that someone else had written them.
-    fn note(&mut self, services: &BTreeSet<ServiceName>, written: Option<Revision>) {
+    /// Records the revision at which the rows of `services` were written; `None` if the write failed its
+    /// precondition.
+    fn record_write(&mut self, services: &BTreeSet<ServiceName>, written: Option<Revision>) {
         let Some(revision) = written else { return };
         for budget in self.rows.iter_mut().filter(|budget| services.contains(&budget.service)) {
             budget.revision = Some(revision);
@@ -56,27 +57,27 @@
 }
 
 impl Controller {
-    /// Does a step for each host of `pool` that is on its way, then lets others set out.
-    pub(super) async fn look_after(
+    /// Takes a step for each host of `pool` in transition, then starts the drains of further hosts.
+    pub(super) async fn reconcile_hosts(
         &mut self,
         input: &RoundInput,
         pool: &PoolName,
         head: Head,
         wave: Option<&WaveRow>,
     ) -> Result<(), StoreError> {
-        let Some(held) = self.held.get_mut(pool) else {
+        let Some(owned) = self.owned.get_mut(pool) else {
             return Ok(());
         };
-        if held.head != Some(head) {
-            held.read(hosts::in_pool(&*self.store, pool).await?);
-            held.head = Some(head);
+        if owned.head != Some(head) {
+            owned.update_hosts(hosts::in_pool(&*self.store, pool).await?);
+            owned.head = Some(head);
         }
-        let in_transition = held.in_transition(&input.leaving);
-        let due = held.due(wave, &input.leaving, &input.placements);
+        let in_transition = owned.in_transition(&input.leaving);
+        let due = owned.due(wave, &input.leaving, &input.placements);
         if in_transition.is_empty() && due.is_empty() {
             return Ok(());
         }
-        let services = held.services(&in_transition, &due, &input.placements);
+        let services = owned.services(&in_transition, &due, &input.placements);
         let rows = hosts::budgets(&*self.store, services).await?;
         let statuses = match in_transition.is_empty() {
             true => Vec::new(),
@@ -85,30 +86,31 @@
         let mut round = Round {
             pool,
             wave,
-            loads: &input.placements,
-            gone: input.leaving.clone(),
-            returning: held.in_phase(HostPhase::Arriving),
+            placements: &input.placements,
+            unavailable: input.leaving.clone(),
+            returning: owned.in_phase(HostPhase::Arriving),
             cache: BudgetCache { rows },
         };
-        // The list lags: a host that the platform says is back is not gone.
+        // The host list lags behind: a host that the platform reports as back is available.
         for (id, status) in in_transition.iter().zip(&statuses) {
             if status.as_ref().is_some_and(|status| status.is_up && !status.is_drained()) {
-                round.gone.remove(id);
+                round.unavailable.remove(id);
             }
         }
         for (id, status) in in_transition.iter().zip(statuses) {
             if let Err(error) = self.step(&mut round, id, status).await {
-                debug!("host {id}: {error}");
-                // Whatever came of it is read before the next step.
-                self.forget_head(pool);
+                debug!("step of host {id} failed: {error}");
+                // The call may have taken effect, so the hosts are read again before the next step.
+                self.invalidate_hosts(pool);
             }
         }
         self.start_drains(&mut round, due).await
     }
 
-    fn forget_head(&mut self, pool: &PoolName) {
-        if let Some(held) = self.held.get_mut(pool) {
-            held.head = None;
+    /// Makes the next round read the hosts of `pool` again.
+    fn invalidate_hosts(&mut self, pool: &PoolName) {
+        if let Some(owned) = self.owned.get_mut(pool) {
+            owned.head = None;
         }
     }
 
@@ -118,17 +120,17 @@
         id: &HostId,
         status: Option<HostStatus>,
     ) -> Result<(), HostError> {
-        let Some(held) = self.held.get_mut(round.pool) else {
+        let Some(owned) = self.owned.get_mut(round.pool) else {
             return Ok(());
         };
-        let lease = held.lease;
-        let Some(tracked) = held.hosts.get_mut(id) else {
+        let lease = owned.lease;
+        let Some(tracked) = owned.hosts.get_mut(id) else {
             return Ok(());
         };
         let is_overspent = round.is_overspent(&tracked.host.row);
-        let seen = tracked.observe(status, is_overspent, self.limits.overspend_confirmation);
+        let observed = tracked.observe(status, is_overspent, self.limits.overspend_confirmation);
         let host = tracked.host.clone();
-        match host::next_step(&host.row, round.wave, &seen, self.limits.drain) {
+        match host::next_step(&host.row, round.wave, &observed, self.limits.drain) {
             HostStep::Wait | HostStep::StartDrain(_) => {}
             HostStep::Drain => {
                 self.platform.drain(id.clone(), DrainTag::new(host.revision)).await?;
@@ -139,10 +141,10 @@
                 if row.phase == HostPhase::Arriving {
                     round.returning.insert(id.clone());
                 }
-                self.put(round.pool, &host, *row, Vec::new()).await?;
+                self.write_host(round.pool, &host, *row, Vec::new()).await?;
             }
             HostStep::ReturnToService => {
-                let budgets = round.give_back(&host);
+                let budgets = round.release_budgets(&host);
                 let services = host.row.spent.clone();
                 let row = HostRow {
                     phase: HostPhase::Serving,
@@ -150,12 +152,12 @@
                     spent: BTreeSet::new(),
                     ..host.row.clone()
                 };
-                let written = self.put(round.pool, &host, row, budgets).await?;
-                round.cache.note(&services, written);
+                let written = self.write_host(round.pool, &host, row, budgets).await?;
+                round.cache.record_write(&services, written);
             }
             HostStep::HandOver(to) => {
                 let has_moved = hosts::hand_over(&*self.store, &host, &to, lease).await?;
-                self.forget_head(round.pool);
+                self.invalidate_hosts(round.pool);
                 if has_moved {
                     self.events.push(PoolEvent::HostMoved(id.clone(), to));
                 }
@@ -164,79 +166,85 @@
         Ok(())
     }
 
-    /// Lets as many of the `due` hosts set out as every budget allows, along racks.
+    /// Starts the drains of the `due` hosts in order, as far as budgets and the batch size allow.
     async fn start_drains(
         &mut self,
         round: &mut Round<'_>,
         due: Vec<HostId>,
     ) -> Result<(), StoreError> {
         for id in due {
-            let Some(held) = self.held.get(round.pool) else {
+            let Some(owned) = self.owned.get(round.pool) else {
                 return Ok(());
             };
-            let Some(host) = held.hosts.get(&id).map(|tracked| tracked.host.clone()) else {
+            let Some(host) = owned.hosts.get(&id).map(|tracked| tracked.host.clone()) else {
                 continue;
             };
             let wave = match host::start_step(&host.row, round.wave) {
                 HostStep::StartDrain(wave) => wave,
-                // It is where operators want it already.
+                // The host is already in the pool that operators want.
                 HostStep::UpdateRow(row) => {
-                    self.put(round.pool, &host, *row, Vec::new()).await?;
+                    self.write_host(round.pool, &host, *row, Vec::new()).await?;
                     continue;
                 }
                 _ => continue,
             };
-            if wave.is_some() && held.wave_count() >= self.limits.max_wave_hosts {
+            if wave.is_some() && owned.wave_count() >= self.limits.max_wave_hosts {
                 continue;
             }
-            if round.loads.drain_blocker(&id, &round.cache.budgets(), &round.gone).is_none()
-                && !self.begin(round, &host, wave).await?
+            if round
+                .placements
+                .drain_blocker(&id, &round.cache.budgets(), &round.unavailable)
+                .is_none()
+                && !self.start_drain(round, &host, wave).await?
             {
-                // Someone else spent of the same budget; the next round reads it again.
+                // Another owner wrote one of the budgets; the next round reads them again.
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    async fn begin(
+    /// Marks a host as draining and spends the budgets of its services; returns whether the write
+    /// succeeded.
+    async fn start_drain(
         &mut self,
         round: &mut Round<'_>,
         host: &Host,
         wave: Option<WaveName>,
     ) -> Result<bool, StoreError> {
-        let spent: BTreeSet<ServiceName> = round.loads.services_on(&host.id).cloned().collect();
-        let budgets = round.spend(&host.id, &spent);
+        let spent: BTreeSet<ServiceName> =
+            round.placements.services_on(&host.id).cloned().collect();
+        let budgets = round.spend_budgets(&host.id, &spent);
         let phase = HostPhase::Draining;
         let row = HostRow { phase, wave, spent: spent.clone(), ..host.row.clone() };
-        let written = self.put(round.pool, host, row, budgets).await?;
-        round.cache.note(&spent, written);
+        let written = self.write_host(round.pool, host, row, budgets).await?;
+        round.cache.record_write(&spent, written);
         Ok(written.is_some())
     }
 
-    /// Writes a host's row with what changes of the budgets, and returns the revision of the rows;
-    /// `None` if it was too late.
-    async fn put(
+    /// Writes the row of a host and `budgets` in one transaction and returns their revision; `None` if a
+    /// precondition failed.
+    async fn write_host(
         &mut self,
         pool: &PoolName,
         host: &Host,
         row: HostRow,
         budgets: Vec<BudgetWrite>,
     ) -> Result<Option<Revision>, StoreError> {
-        let Some(Held { lease, head: Some(Head(head)), .. }) = self.held.get(pool) else {
+        let Some(OwnedPool { lease, head: Some(Head(head)), .. }) = self.owned.get(pool) else {
             return Ok(None);
         };
         let fence = Fence { lease: *lease, head: *head };
         let written = hosts::put(&*self.store, host, &row, fence, &budgets).await;
-        let (Some(held), Ok(Some(revision))) = (self.held.get_mut(pool), &written) else {
-            self.forget_head(pool);
+        let (Some(owned), Ok(Some(revision))) = (self.owned.get_mut(pool), &written) else {
+            self.invalidate_hosts(pool);
             return written;
         };
-        held.head = Some(Head(Some(*revision)));
+        owned.head = Some(Head(Some(*revision)));
         if row.phase != host.row.phase {
             self.events.push(PoolEvent::HostEntered(host.id.clone(), row.phase));
         }
-        if let Some(tracked) = held.hosts.get_mut(&host.id) {
+        if let Some(tracked) = owned.hosts.get_mut(&host.id) {
             tracked.host = Host { id: host.id.clone(), row, revision: *revision };
         }
         written
@@ -244,22 +252,26 @@
 }
 
 impl Round<'_> {
-    /// Tells whether failures have eaten a budget that the drain of a host spends.
+    /// Returns whether failures have exceeded a budget that the drain of a host spends.
     fn is_overspent(&self, row: &HostRow) -> bool {
         let is_overspent = |budget: &BudgetWrite| {
             row.spent.contains(&budget.service)
-                && self.loads.overspent_by(
+                && self.placements.overspent_by(
                     &budget.service,
                     &budget.row,
-                    &self.gone,
+                    &self.unavailable,
                     &self.returning,
                 ) > 0
         };
         row.phase == HostPhase::Draining && self.cache.rows.iter().any(is_overspent)
     }
 
-    /// Returns the budgets of `services` with `host` on them.
-    fn spend(&mut self, host: &HostId, services: &BTreeSet<ServiceName>) -> Vec<BudgetWrite> {
+    /// Adds `host` to the budgets of `services` and returns the rows to write.
+    fn spend_budgets(
+        &mut self,
+        host: &HostId,
+        services: &BTreeSet<ServiceName>,
+    ) -> Vec<BudgetWrite> {
         let mut writes = Vec::new();
         for service in services {
             if let Some(budget) = self.cache.find(service) {
@@ -270,8 +282,8 @@
         writes
     }
 
-    /// Returns the budgets that a host has spent, without it.
-    fn give_back(&mut self, host: &Host) -> Vec<BudgetWrite> {
+    /// Removes `host` from the budgets that it spends and returns the rows to write.
+    fn release_budgets(&mut self, host: &Host) -> Vec<BudgetWrite> {
         let mut writes = Vec::new();
         for service in &host.row.spent {
             if let Some(budget) = self.cache.find(service) {
@@ -283,67 +295,68 @@
     }
 }
 
-impl Held {
-    /// Returns the hosts whose status is asked for: those on their way, and those that are said to
-    /// leave though nobody here wants them to.
+impl OwnedPool {
+    /// Returns the hosts whose status is needed: those that are not in service, and those that are
+    /// leaving without a request of this pool.
     fn in_transition(&self, leaving: &BTreeSet<HostId>) -> Vec<HostId> {
-        let is_on_way = |(id, tracked): &(&HostId, &Tracked)| {
+        let is_in_transition = |(id, tracked): &(&HostId, &TrackedHost)| {
             tracked.host.row.phase != HostPhase::Serving || leaving.contains(*id)
         };
-        self.hosts.iter().filter(is_on_way).map(|(id, _)| id.clone()).collect()
+        self.hosts.iter().filter(is_in_transition).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the hosts that should set out: moves first, then those of a wave whose services have the
-    /// most left to do, along racks.
+    /// Returns the hosts whose drain should start: moves first, then the hosts of a wave by priority,
+    /// and at equal priority those in racks that the wave has already started.
     fn due(
         &self,
         wave: Option<&WaveRow>,
         leaving: &BTreeSet<HostId>,
-        loads: &MinionPlacements,
+        placements: &MinionPlacements,
     ) -> Vec<HostId> {
-        let is_begun = |tracked: &&Tracked| {
+        let is_started = |tracked: &&TrackedHost| {
             let row = &tracked.host.row;
             row.wave.is_some() || wave.is_some_and(|wave| row.done.as_ref() == Some(&wave.name))
         };
-        let begun: BTreeSet<&RackName> =
-            self.hosts.values().filter(is_begun).map(|tracked| &tracked.host.row.rack).collect();
-        let mut due: Vec<&Tracked> = self
+        let started_racks: BTreeSet<&RackName> =
+            self.hosts.values().filter(is_started).map(|tracked| &tracked.host.row.rack).collect();
+        let mut due: Vec<&TrackedHost> = self
             .hosts
             .values()
             .filter(|tracked| tracked.host.row.phase == HostPhase::Serving)
             .filter(|tracked| !leaving.contains(&tracked.host.id))
             .filter(|tracked| host::start_step(&tracked.host.row, wave) != HostStep::Wait)
             .collect();
-        let left: BTreeSet<HostId> = due.iter().map(|tracked| tracked.host.id.clone()).collect();
+        let remaining: BTreeSet<HostId> =
+            due.iter().map(|tracked| tracked.host.id.clone()).collect();
         due.sort_by_cached_key(|tracked| {
             let Host { id, row, .. } = &tracked.host;
-            let priority = Reverse(loads.priority(id, &left));
-            (row.want.is_none(), priority, !begun.contains(&row.rack), &row.rack, id)
+            let priority = Reverse(placements.priority(id, &remaining));
+            (row.want.is_none(), priority, !started_racks.contains(&row.rack), &row.rack, id)
         });
         due.into_iter().map(|tracked| tracked.host.id.clone()).collect()
     }
 
     fn in_phase(&self, phase: HostPhase) -> BTreeSet<HostId> {
-        let is_in = |(_, tracked): &(&HostId, &Tracked)| tracked.host.row.phase == phase;
+        let is_in = |(_, tracked): &(&HostId, &TrackedHost)| tracked.host.row.phase == phase;
         self.hosts.iter().filter(is_in).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns how many hosts a wave has on their way.
+    /// Returns how many hosts are being processed by a wave.
     fn wave_count(&self) -> usize {
         self.hosts.values().filter(|tracked| tracked.host.row.wave.is_some()).count()
     }
 
-    /// Returns the services whose budgets matter for these hosts.
+    /// Returns the services whose budgets the given hosts spend or would spend.
     fn services(
         &self,
         in_transition: &[HostId],
         due: &[HostId],
-        loads: &MinionPlacements,
+        placements: &MinionPlacements,
     ) -> Vec<ServiceName> {
         let spent = in_transition.iter().filter_map(|id| self.hosts.get(id));
         let spent = spent.flat_map(|tracked| tracked.host.row.spent.iter());
-        let of_due = due.iter().flat_map(|id| loads.services_on(id));
-        let services: BTreeSet<ServiceName> = spent.chain(of_due).cloned().collect();
+        let of_due_hosts = due.iter().flat_map(|id| placements.services_on(id));
+        let services: BTreeSet<ServiceName> = spent.chain(of_due_hosts).cloned().collect();
         services.into_iter().collect()
     }
 }
--- a/reachhead_pool/src/host.rs
+++ b/reachhead_pool/src/host.rs
@@ -1,7 +1,8 @@
-//! The next step of one host on its way: drained, empty, rebooted or handed over, serving.
+//! The state machine of a host in maintenance or between pools: drain, reboot or hand-over, return to
+//! service.
 //!
-//! A step depends on the rows and the platform's word alone, so whoever is in charge next goes on
-//! where the last one stopped.
+//! A step depends only on stored rows and on the status that the platform reports, so a new owner of
+//! the pool continues where the previous one stopped.
 
 use std::time::Duration;
 
@@ -11,110 +12,117 @@
     pool::{HostPhase, HostRow, WaveRow, WaveState},
 };
 
-/// What to do about a host; one step a round.
+/// The next action for a host; one is taken per round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HostStep {
-    /// Nothing now.
+    /// Take no action in this round.
     Wait,
-    /// Begin to drain it for a wave, or to be moved, if every budget allows it.
+    /// Start to drain the host if every budget allows it: for the given wave, or for a move to another
+    /// pool.
     StartDrain(Option<WaveName>),
-    /// Write another row: the host is somewhere else on its way.
+    /// Store a new row, which puts the host into another phase.
     UpdateRow(Box<HostRow>),
-    /// Write that it serves again, and give its budgets back.
+    /// Mark the host as serving and release the budgets that it holds.
     ReturnToService,
-    /// Ask the platform to drain it.
+    /// Request the drain from the platform.
     Drain,
-    /// Ask the platform to take the drain back.
+    /// Cancel a drain at the platform.
     Undrain(DrainTag),
-    /// Ask the platform to reboot it, if it was booted this often so far.
+    /// Request a reboot from the platform, on condition that the boot count is still the given one.
     Reboot(DrainTag, u64),
-    /// Hand it over to another pool.
+    /// Hand the host over to another pool.
     HandOver(PoolName),
 }
 
-/// What its pool's owner sees of a host.
+/// The state of a host as observed by the owner of its pool.
 #[derive(Debug, Clone)]
 pub struct Observation {
-    /// The platform's word; `None` if it has none.
+    /// The status reported by the platform; `None` if it does not know the host.
     pub status: Option<HostStatus>,
-    /// For how long it has been seen drained without a break.
+    /// How long the host has been observed drained without interruption.
     pub drained_for: Duration,
-    /// Whether failures have eaten the budget that its drain spends.
+    /// Whether failures have exceeded a budget that the drain of this host spends.
     pub is_overspent: bool,
 }
 
-/// Returns the next step of a host of a pool with `wave`. It must be seen drained for `drain_time`
-/// before it counts as empty: entry hosts hear of the drain a little later, and requests there may
-/// still run.
+/// Returns the next step of a host whose pool has `wave`.
+///
+/// The host must be observed drained for `drain_time` before it counts as empty: entry hosts learn of
+/// the drain with a delay, and requests may still run on the host until then.
 pub fn next_step(
     row: &HostRow,
     wave: Option<&WaveRow>,
-    seen: &Observation,
+    observed: &Observation,
     drain_time: Duration,
 ) -> HostStep {
-    let Some(status) = &seen.status else {
+    let Some(status) = &observed.status else {
         return HostStep::Wait;
     };
     let own_drain = status.own_drain().cloned();
     match row.phase {
-        // Serving under a drain: a former owner asked for it too late.
+        // A drain of a host that serves was requested by a previous owner whose request arrived late.
         HostPhase::Serving => own_drain.map_or_else(|| start_step(row, wave), HostStep::Undrain),
-        HostPhase::Draining if is_taken_back(row, wave, seen) => {
-            enter(HostRow { phase: HostPhase::Arriving, wave: None, ..row.clone() })
+        HostPhase::Draining if should_cancel_drain(row, wave, observed) => {
+            update_row(HostRow { phase: HostPhase::Arriving, wave: None, ..row.clone() })
         }
-        HostPhase::Draining => drain(row, status, seen, drain_time),
+        HostPhase::Draining => drain(row, status, observed, drain_time),
         HostPhase::Rebooting => reboot(row, status, own_drain),
         HostPhase::Arriving if !status.is_up => HostStep::Wait,
         HostPhase::Arriving => own_drain.map_or(HostStep::ReturnToService, HostStep::Undrain),
     }
 }
 
-fn enter(row: HostRow) -> HostStep {
+fn update_row(row: HostRow) -> HostStep {
     HostStep::UpdateRow(Box::new(row))
 }
 
-/// Returns the pool that a host should go to, if it is not there.
-fn target(row: &HostRow) -> Option<&PoolName> {
+/// Returns the pool that operators want a host in, if it is in another one.
+fn target_pool(row: &HostRow) -> Option<&PoolName> {
     row.want.as_ref().filter(|want| **want != row.pool)
 }
 
-/// Returns how a host that serves sets out, if it should.
+/// Returns the first step of a host in service: a move goes before a wave.
 pub fn start_step(row: &HostRow, wave: Option<&WaveRow>) -> HostStep {
     match (&row.want, wave) {
-        (Some(want), _) if *want == row.pool => enter(HostRow { want: None, ..row.clone() }),
+        (Some(want), _) if *want == row.pool => update_row(HostRow { want: None, ..row.clone() }),
         (Some(_), _) => HostStep::StartDrain(None),
         (None, Some(wave)) if is_due(row, wave) => HostStep::StartDrain(Some(wave.name.clone())),
         (None, _) => HostStep::Wait,
     }
 }
 
-/// Tells whether a wave that goes on has yet to come to a host.
+/// Returns whether a running wave has yet to process a host.
 pub fn is_due(row: &HostRow, wave: &WaveRow) -> bool {
     wave.state == WaveState::Running && row.done.as_ref() != Some(&wave.name)
 }
 
-/// Tells whether a drain has lost its reason, or its budget.
-fn is_taken_back(row: &HostRow, wave: Option<&WaveRow>, seen: &Observation) -> bool {
+/// Returns whether a drain has to be cancelled because its reason is gone or a budget is exceeded.
+fn should_cancel_drain(row: &HostRow, wave: Option<&WaveRow>, observed: &Observation) -> bool {
     let has_reason = match &row.wave {
         Some(name) => {
             wave.is_some_and(|wave| wave.name == *name && wave.state != WaveState::Cancelled)
         }
-        None => target(row).is_some(),
+        None => target_pool(row).is_some(),
     };
-    !has_reason || seen.is_overspent
+    !has_reason || observed.is_overspent
 }
 
-fn drain(row: &HostRow, status: &HostStatus, seen: &Observation, drain_time: Duration) -> HostStep {
+fn drain(
+    row: &HostRow,
+    status: &HostStatus,
+    observed: &Observation,
+    drain_time: Duration,
+) -> HostStep {
     if !status.is_drained() {
         return HostStep::Drain;
     }
-    if status.running > 0 || seen.drained_for < drain_time {
+    if status.running > 0 || observed.drained_for < drain_time {
         return HostStep::Wait;
     }
-    match (&row.wave, target(row)) {
+    match (&row.wave, target_pool(row)) {
         (Some(_), _) => {
             let (phase, boots) = (HostPhase::Rebooting, Some(status.boots));
-            enter(HostRow { phase, boots, ..row.clone() })
+            update_row(HostRow { phase, boots, ..row.clone() })
         }
         (None, Some(to)) => HostStep::HandOver(to.clone()),
         (None, None) => HostStep::Wait,
@@ -125,7 +133,7 @@
     let is_booted = row.boots.is_none_or(|boots| status.boots > boots);
     match own_drain {
         _ if !status.is_up => HostStep::Wait,
-        _ if is_booted => enter(HostRow {
+        _ if is_booted => update_row(HostRow {
             phase: HostPhase::Arriving,
             wave: None,
             done: row.wave.clone(),
@@ -133,7 +141,7 @@
             ..row.clone()
         }),
         Some(tag) => HostStep::Reboot(tag, status.boots),
-        // The platform has lost the drain, so there may be work on it again.
-        None => enter(HostRow { phase: HostPhase::Draining, boots: None, ..row.clone() }),
+        // The platform lost the drain, so new work may have started on the host.
+        None => update_row(HostRow { phase: HostPhase::Draining, boots: None, ..row.clone() }),
     }
 }
--- a/reachhead_pool/src/lib.rs
+++ b/reachhead_pool/src/lib.rs
@@ -1,4 +1,6 @@
-//! Who is in charge of a pool, and how hosts move between pools; docs/POOLS.md has the argument.
+//! Ownership of host pools, moves of hosts between pools, and maintenance waves.
+//!
+//! docs/POOLS.md has the safety argument.
 
 pub mod budget;
 pub mod controller;
--- a/reachhead_pool/tests/moves/main.rs
+++ b/reachhead_pool/tests/moves/main.rs
@@ -1,10 +1,10 @@
-//! Controllers that are killed, paused, cut and wrong about each other, with moves and waves under way:
-//! a host is in one pool, and no budget is overspent by planned work.
+//! Random schedules of controllers that crash, pause, lose calls and hold false views of each other,
+//! with moves and waves in progress: each host is in one pool, and planned work exceeds no budget.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
-mod site;
-mod world;
+mod cluster;
+mod platform;
 
 use std::collections::BTreeMap;
 
@@ -22,14 +22,14 @@
 };
 use serde_json::{Value, json};
 
-use crate::site::Site;
+use crate::cluster::Cluster;
 
 const CONTROLLERS: u8 = 3;
 const POOLS: u8 = 3;
 const HOSTS: u8 = 4;
 
-/// Minions of a service that may be away at once.
-const LIMIT: usize = 1;
+/// Minions of a service that may be unavailable at once.
+const MAX_UNAVAILABLE: usize = 1;
 
 fn pool(number: u8) -> PoolName {
     format!("p{}", number % POOLS).parse().unwrap()
@@ -39,14 +39,14 @@
     format!("h{}", number % HOSTS).parse().unwrap()
 }
 
-/// Returns the loads of two services: one with a minion on each host, one with a minion on two of them.
-fn loads() -> MinionPlacements {
+/// Returns the placements of two services: one with a minion on each host, one with minions on two hosts.
+fn placements() -> MinionPlacements {
     let mut rows = vec![
         ("group/top".to_owned(), json!({})),
         ("pool/p0".to_owned(), json!({ "group": "top" })),
     ];
     for service in ["s0", "s1"] {
-        let row = json!({ "group": "top", "pool": "p0", "max_unavailable": LIMIT });
+        let row = json!({ "group": "top", "pool": "p0", "max_unavailable": MAX_UNAVAILABLE });
         rows.push((format!("service/{service}"), row));
     }
     let minions = [("s0", 0), ("s0", 1), ("s0", 2), ("s0", 3), ("s1", 1), ("s1", 3)];
@@ -61,34 +61,34 @@
     MinionPlacements::new(&Fleet::from_rows(Version(1), &rows).unwrap())
 }
 
-/// Walks of random acts; two pools that spend the same budget at once are rare among them.
-const WALKS: u64 = 400;
+/// Number of random schedules; few of them have two pools that spend the same budget at once.
+const SCHEDULES: u64 = 400;
 
 #[test]
 fn a_host_is_in_one_pool_and_planned_work_keeps_every_budget() {
-    fn walk(acts: Vec<(u8, u8, u8)>) -> bool {
-        let mut site = Site::new();
-        for act in acts {
-            site.act(act);
+    fn is_schedule_safe(actions: Vec<(u8, u8, u8)>) -> bool {
+        let mut cluster = Cluster::new();
+        for action in actions {
+            cluster.apply(action);
         }
-        let is_settled = site.settle();
-        let wrong = site.world.wrong();
-        if !is_settled || !wrong.is_empty() {
-            eprintln!("settled: {is_settled}, wrong: {wrong:?}");
+        let is_settled = cluster.settle();
+        let violations = cluster.platform.violations();
+        if !is_settled || !violations.is_empty() {
+            eprintln!("settled: {is_settled}, violations: {violations:?}");
         }
-        is_settled && wrong.is_empty()
+        is_settled && violations.is_empty()
     }
-    check("a_host_is_in_one_pool", WALKS, walk as fn(Vec<(u8, u8, u8)>) -> bool);
+    check("a_host_is_in_one_pool", SCHEDULES, is_schedule_safe as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
 #[test]
-fn a_lease_of_another_release_is_not_taken_for_a_free_one() {
-    let mut site = Site::new();
+fn a_lease_row_that_cannot_be_parsed_is_not_taken_for_a_free_lease() {
+    let mut cluster = Cluster::new();
     let lease = json!({ "owner": "in words that this release does not know", "epoch": 7 });
-    site.world.write(keys::lease(&pool(0)), lease.clone());
-    // Nobody waits for long here, so a lease that could be taken would be.
-    site.settle();
-    assert_eq!(site.world.value(&keys::lease(&pool(0))), Some(lease));
+    cluster.platform.write(keys::lease(&pool(0)), lease.clone());
+    // Time-outs are zero here, so a lease that counts as free would be acquired.
+    cluster.settle();
+    assert_eq!(cluster.platform.value(&keys::lease(&pool(0))), Some(lease));
 }
 
 properties! {
@@ -118,7 +118,7 @@
         let gone = usize::from(gone % count);
         candidates[gone].is_silent = true;
         let after = owners(&candidates);
-        // Only what the one that is gone had changes hands.
+        // Only pools of the host that is gone get another owner.
         let is_kept = |(old, new): (&MemberId, &MemberId)| *old == candidates[gone].id || old == new;
         is_naive && before.iter().zip(&after).all(is_kept)
     }
--- a/reachhead_pool/tests/moves/world.rs
+++ b/reachhead_pool/tests/moves/platform.rs
@@ -1,4 +1,4 @@
-//! The platform as the controllers meet it: rows, hosts, and calls that are lost or come late.
+//! A simulated store and host platform that loses and delays calls and checks the invariants.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,16 +20,18 @@
 };
 use serde::Deserialize;
 
-use crate::{HOSTS, LIMIT, host_id, loads};
+use crate::{HOSTS, MAX_UNAVAILABLE, host_id, placements};
 
-/// What becomes of the next writes, of the store and of the platform alike.
+/// The fault that is injected into writes, both to the store and to the platform.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     None,
-    LostBefore,
-    LostAfter,
-    /// It is carried out much later, when its caller has long given up: a pause in the middle.
-    Late,
+    /// The call fails and has no effect.
+    LostRequest,
+    /// The call takes effect, but its caller gets an error.
+    LostAnswer,
+    /// The caller gets an error, and the call takes effect much later, as if the caller was paused.
+    Delayed,
 }
 
 enum Call {
@@ -41,32 +43,33 @@
 
 struct Inner {
     fault: Fault,
-    late: Vec<Call>,
+    delayed: Vec<Call>,
     statuses: BTreeMap<HostId, HostStatus>,
-    /// What a check of a transaction found wrong.
-    wrong: Vec<String>,
+    /// Violations of invariants that were found after transactions and reboots.
+    violations: Vec<String>,
 }
 
-/// The platform: its store and its hosts.
-pub struct World {
+/// A store and the hosts of a platform, in memory.
+pub struct SimulatedPlatform {
     store: MemoryStore,
     inner: Mutex<Inner>,
 }
 
-impl World {
+impl SimulatedPlatform {
     pub fn new() -> Arc<Self> {
         let status = HostStatus { is_up: true, drain: None, running: 0, boots: 0 };
         let statuses = (0..HOSTS).map(|number| (host_id(number), status.clone())).collect();
-        let inner = Inner { fault: Fault::None, late: Vec::new(), statuses, wrong: Vec::new() };
+        let inner =
+            Inner { fault: Fault::None, delayed: Vec::new(), statuses, violations: Vec::new() };
         Arc::new(Self { store: MemoryStore::new(), inner: Mutex::new(inner) })
     }
 
-    /// Sets what becomes of the next writes.
+    /// Sets the fault that is injected into the next writes.
     pub fn set_fault(&self, fault: Fault) {
         self.inner.lock().unwrap().fault = fault;
     }
 
-    /// Returns how a host is.
+    /// Returns the status of a host.
     pub fn status_of(&self, host: &HostId) -> HostStatus {
         self.inner.lock().unwrap().statuses[host].clone()
     }
@@ -79,12 +82,12 @@
         leaving.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns what the checks of transactions and reboots found wrong.
-    pub fn wrong(&self) -> Vec<String> {
-        self.inner.lock().unwrap().wrong.clone()
+    /// Returns the violations of invariants found so far.
+    pub fn violations(&self) -> Vec<String> {
+        self.inner.lock().unwrap().violations.clone()
     }
 
-    /// Writes a row as it is, without any fault.
+    /// Writes a row without fault injection.
     pub fn write(&self, key: Key, value: serde_json::Value) {
         let txn = Txn::new().with_write(key, value);
         self.store.commit(txn).now_or_never().unwrap().unwrap();
@@ -96,12 +99,12 @@
         rows.into_iter().next().flatten().map(|row| row.value)
     }
 
-    fn carry_out(&self, call: Call) -> Commit {
+    fn execute(&self, call: Call) -> Commit {
         match call {
             Call::Txn(txn) => {
-                let before = self.rows();
+                let before = self.host_rows();
                 let commit = self.store.commit(txn).now_or_never().unwrap().unwrap();
-                self.check(&before, &self.rows());
+                self.check_hosts(&before, &self.host_rows());
                 self.check_budgets();
                 commit
             }
@@ -110,7 +113,7 @@
                 Commit::Conflict(Vec::new())
             }
             Call::Reboot(host, tag, boots) => {
-                self.reboot_now(&host, &tag, boots);
+                self.reboot_host(&host, &tag, boots);
                 Commit::Conflict(Vec::new())
             }
             Call::Undrain(host, tag) => {
@@ -122,8 +125,9 @@
         }
     }
 
-    /// Reboots a host under its drain, and notes if it had work or was outside its budgets.
-    fn reboot_now(&self, host: &HostId, tag: &DrainTag, boots: u64) {
+    /// Reboots a host that is drained with `tag`, and records a violation if work was running on it or a
+    /// budget did not permit it.
+    fn reboot_host(&self, host: &HostId, tag: &DrainTag, boots: u64) {
         let budgets = self.budgets();
         let mut inner = self.inner.lock().unwrap();
         let status = inner.statuses.get_mut(host).unwrap();
@@ -132,12 +136,12 @@
         }
         status.boots += 1;
         let is_empty = status.running == 0;
-        let is_permitted = loads()
+        let is_permitted = placements()
             .services_on(host)
             .all(|service| budgets.get(service).is_some_and(|budget| budget.held.contains(host)));
         if !is_empty || !is_permitted {
             inner
-                .wrong
+                .violations
                 .push(format!("{host} was rebooted: empty {is_empty}, permitted {is_permitted}"));
         }
     }
@@ -153,30 +157,31 @@
     fn call(&self, call: Call) -> Result<Commit, StoreError> {
         let fault = self.inner.lock().unwrap().fault;
         match fault {
-            Fault::None => Ok(self.carry_out(call)),
-            Fault::LostBefore => Err(StoreError::Lost("before".to_owned())),
-            Fault::LostAfter => {
-                self.carry_out(call);
+            Fault::None => Ok(self.execute(call)),
+            Fault::LostRequest => Err(StoreError::Lost("before".to_owned())),
+            Fault::LostAnswer => {
+                self.execute(call);
                 Err(StoreError::Lost("after".to_owned()))
             }
-            Fault::Late => {
-                self.inner.lock().unwrap().late.push(call);
+            Fault::Delayed => {
+                self.inner.lock().unwrap().delayed.push(call);
                 Err(StoreError::Lost("late".to_owned()))
             }
         }
     }
 
-    pub fn deliver(&self, number: u8) {
+    /// Executes one of the delayed calls.
+    pub fn deliver_delayed(&self, number: u8) {
         let call = {
-            let late = &mut self.inner.lock().unwrap().late;
-            (!late.is_empty()).then(|| late.remove(usize::from(number) % late.len()))
+            let delayed = &mut self.inner.lock().unwrap().delayed;
+            (!delayed.is_empty()).then(|| delayed.remove(usize::from(number) % delayed.len()))
         };
         if let Some(call) = call {
-            self.carry_out(call);
+            self.execute(call);
         }
     }
 
-    pub fn rows(&self) -> BTreeMap<HostId, HostRow> {
+    pub fn host_rows(&self) -> BTreeMap<HostId, HostRow> {
         let page = self.scan_all("host/");
         let row = |row: &Row| {
             let id = row.key.0.strip_prefix("host/").unwrap().parse().unwrap();
@@ -190,24 +195,25 @@
         self.store.scan(scan).now_or_never().unwrap().unwrap().rows
     }
 
-    /// Notes a budget that planned work alone overspends, by the rows of the hosts, or that says
-    /// something else than they.
+    /// Records each budget that planned work alone exceeds, and each budget row that differs from the
+    /// rows of the hosts.
     fn check_budgets(&self) {
-        let (loads, rows) = (loads(), self.rows());
+        let (placements, rows) = (placements(), self.host_rows());
         for (service, budget) in self.budgets() {
             let spenders = rows.iter().filter(|(_, row)| row.spent.contains(&service));
             let spenders: BTreeSet<HostId> = spenders.map(|(id, _)| id.clone()).collect();
-            let away = loads.count_unavailable(&service, &spenders, &BTreeSet::new());
-            if away > LIMIT || budget.held != spenders {
+            let away = placements.count_unavailable(&service, &spenders, &BTreeSet::new());
+            if away > MAX_UNAVAILABLE || budget.held != spenders {
                 let held = budget.held;
                 let text = format!("{service}: {away} away by {spenders:?}, held by {held:?}");
-                self.inner.lock().unwrap().wrong.push(text);
+                self.inner.lock().unwrap().violations.push(text);
             }
         }
     }
 
-    /// Notes a host that changed its pool without being empty, or its epoch without changing its pool.
-    fn check(&self, before: &BTreeMap<HostId, HostRow>, after: &BTreeMap<HostId, HostRow>) {
+    /// Records each host that changed its pool without being empty, or its epoch without changing its
+    /// pool, and an index that differs from the rows.
+    fn check_hosts(&self, before: &BTreeMap<HostId, HostRow>, after: &BTreeMap<HostId, HostRow>) {
         let mut inner = self.inner.lock().unwrap();
         for (id, row) in after {
             let Some(old) = before.get(id) else { continue };
@@ -215,10 +221,10 @@
             let status = &inner.statuses[id];
             if has_moved && (status.running > 0 || !status.is_drained()) {
                 let text = format!("{id} moved while {status:?}");
-                inner.wrong.push(text);
+                inner.violations.push(text);
             }
             if row.epoch.0 != old.epoch.0 + u64::from(has_moved) {
-                inner.wrong.push(format!("{id} went from {old:?} to {row:?}"));
+                inner.violations.push(format!("{id} went from {old:?} to {row:?}"));
             }
         }
         let indexed: Vec<String> = {
@@ -228,7 +234,7 @@
         let expected: BTreeSet<String> =
             after.iter().map(|(id, row)| format!("pool-host/{}/{id}", row.pool)).collect();
         if indexed.len() != expected.len() || !indexed.iter().all(|key| expected.contains(key)) {
-            inner.wrong.push(format!("the index has {indexed:?}, the rows {expected:?}"));
+            inner.violations.push(format!("the index has {indexed:?}, the rows {expected:?}"));
         }
     }
 
@@ -239,29 +245,29 @@
     pub fn set_running(&self, host: &HostId, running: u32) {
         let mut inner = self.inner.lock().unwrap();
         let status = inner.statuses.get_mut(host).unwrap();
-        // A drained host takes no new work, but finishes what it has.
+        // A drained host accepts no new work, but finishes running work.
         status.running = if status.is_drained() { status.running.min(running) } else { running };
     }
 }
 
-/// Lets another controller go on first.
-async fn pause() {
-    let mut is_over = false;
+/// Yields to the other controller once.
+async fn yield_once() {
+    let mut has_yielded = false;
     future::poll_fn(|context| {
-        if is_over {
+        if has_yielded {
             return Poll::Ready(());
         }
-        is_over = true;
+        has_yielded = true;
         context.waker().wake_by_ref();
         Poll::Pending
     })
     .await;
 }
 
-impl Store for World {
+impl Store for SimulatedPlatform {
     fn read(&self, keys: Vec<Key>) -> BoxFuture<'_, Result<Vec<Option<Row>>, StoreError>> {
         async move {
-            pause().await;
+            yield_once().await;
             self.store.read(keys).await
         }
         .boxed()
@@ -269,7 +275,7 @@
 
     fn scan(&self, scan: Scan) -> BoxFuture<'_, Result<Page, StoreError>> {
         async move {
-            pause().await;
+            yield_once().await;
             self.store.scan(scan).await
         }
         .boxed()
@@ -277,14 +283,14 @@
 
     fn commit(&self, txn: Txn) -> BoxFuture<'_, Result<Commit, StoreError>> {
         async move {
-            pause().await;
+            yield_once().await;
             self.call(Call::Txn(txn))
         }
         .boxed()
     }
 }
 
-impl Platform for World {
+impl Platform for SimulatedPlatform {
     fn status(
         &self,
         hosts: Vec<HostId>,
