--- a/reachhead_plan/src/capacity.rs
+++ b/reachhead_plan/src/capacity.rs
@@ -1,4 +1,4 @@
-//! The room on the workers of a pool while a plan is made.
+//! The free capacity of the workers of a pool while a plan is made.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,28 @@
     pool::{Job, PendingReason, Pool, Spread, Worker},
 };
 
-/// The workers with what is free on each.
+/// The workers of a pool with the capacity that is used and free on each.
 pub struct WorkerCapacities<'p> {
-    rooms: Vec<Room<'p>>,
+    workers: Vec<WorkerUsage<'p>>,
     index: BTreeMap<&'p HostId, usize>,
-    /// The tasks of each job by rack; racks are numbered, since every worker's is looked up for every
-    /// task.
-    racks: BTreeMap<&'p JobName, Vec<u32>>,
+    /// Number of tasks of each job by rack. Racks are numbered, since the rack of every worker is
+    /// looked up for every task.
+    rack_counts: BTreeMap<&'p JobName, Vec<u32>>,
     rack_count: usize,
 }
 
-/// One worker.
-struct Room<'p> {
+/// A worker with the resources that tasks use there.
+struct WorkerUsage<'p> {
     id: &'p HostId,
     worker: &'p Worker,
     rack: usize,
-    /// What tasks have there; more than there is, if the worker has shrunk.
+    /// Resources that placed tasks use; more than the capacity if the worker has shrunk.
     used: Amount,
-    /// What they will have once all that was told to stop has stopped.
+    /// Resources in use once all tasks that are being stopped have stopped.
     used_later: Amount,
 }
 
-impl Room<'_> {
+impl WorkerUsage<'_> {
     fn free(&self) -> Amount {
         self.worker.capacity.minus(self.used)
     }
@@ -40,52 +40,53 @@
     }
 }
 
-/// Where a task could go.
+/// The index of the worker on which a task can be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
-    /// There is room now.
+    /// The worker has enough free capacity now.
     Now(usize),
-    /// There will be room once something has stopped that was told to.
+    /// The worker will have enough free capacity once tasks that are being stopped have stopped.
     Later(usize),
 }
 
 impl<'p> WorkerCapacities<'p> {
-    /// Returns the rooms of `pool`.
+    /// Returns the capacities of the workers of `pool`.
     pub fn new(pool: &'p Pool) -> Self {
-        let mut rooms = Vec::with_capacity(pool.workers.len());
+        let mut workers = Vec::with_capacity(pool.workers.len());
         let mut index = BTreeMap::new();
         let mut numbers: BTreeMap<&RackName, usize> = BTreeMap::new();
         for (id, worker) in &pool.workers {
-            index.insert(id, rooms.len());
+            index.insert(id, workers.len());
             let (used, used_later) = (Amount::default(), Amount::default());
             let next = numbers.len();
             let rack = *numbers.entry(&worker.rack).or_insert(next);
-            rooms.push(Room { id, worker, rack, used, used_later });
+            workers.push(WorkerUsage { id, worker, rack, used, used_later });
         }
-        let mut all = Self { rooms, index, racks: BTreeMap::new(), rack_count: numbers.len() };
+        let mut all =
+            Self { workers, index, rack_counts: BTreeMap::new(), rack_count: numbers.len() };
         for (task, placed) in &pool.tasks {
             let Some(job) = pool.jobs.get(&task.job) else { continue };
             let Some(&at) = all.index.get(&placed.worker) else { continue };
-            let room = &mut all.rooms[at];
-            room.used = room.used.plus(job.size);
+            let usage = &mut all.workers[at];
+            usage.used = usage.used.plus(job.size);
             if !placed.is_stopping {
-                room.used_later = room.used_later.plus(job.size);
+                usage.used_later = usage.used_later.plus(job.size);
             }
-            // Until it has stopped it is in the rack.
-            let rack = room.rack;
+            // A task that is being stopped counts for its rack until it has stopped.
+            let rack = usage.rack;
             all.count_rack(&task.job, rack);
         }
         all
     }
 
-    /// Returns the worker at an index.
+    /// Returns the identifier of the worker at an index.
     pub fn worker_id(&self, at: usize) -> &'p HostId {
-        self.rooms[at].id
+        self.workers[at].id
     }
 
-    /// Returns all indices of open workers.
+    /// Returns the indices of the workers that accept new tasks.
     pub fn schedulable(&self) -> impl Iterator<Item = usize> {
-        (0..self.rooms.len()).filter(|&at| self.rooms[at].worker.is_schedulable)
+        (0..self.workers.len()).filter(|&at| self.workers[at].worker.is_schedulable)
     }
 
     /// Returns the index of a worker.
@@ -93,56 +94,65 @@
         self.index.get(id).copied()
     }
 
-    /// Returns what is missing at a worker for a task of `job`, nothing if it fits there later.
+    /// Returns the resources that a worker lacks for a task of `job`; zero if the task will fit
+    /// once tasks that are being stopped have stopped.
     pub fn shortage(&self, at: usize, job: &Job) -> Amount {
-        let room = &self.rooms[at];
-        // What a worker that has shrunk lacks of other resources is not this job's matter.
-        room.used_later.plus(job.size).minus(room.worker.capacity).masked_by(job.size)
+        let usage = &self.workers[at];
+        // A worker that has shrunk may be short of resources that this job does not use.
+        usage.used_later.plus(job.size).minus(usage.worker.capacity).masked_by(job.size)
     }
 
-    /// Tells whether the spread of a job leaves a worker open to it.
+    /// Returns whether the spread of a job permits another task of it on a worker.
     pub fn satisfies_spread(&self, at: usize, name: &JobName, job: &Job) -> bool {
-        let counts = self.racks.get(name).map(Vec::as_slice).unwrap_or_default();
+        let counts = self.rack_counts.get(name).map(Vec::as_slice).unwrap_or_default();
         job.spread == Spread::Even || self.in_rack(at, counts) == 0
     }
 
-    /// Returns how many tasks of the job with `counts` are in a worker's rack.
+    /// Returns how many tasks are in the rack of a worker, by the rack counts of their job.
     fn in_rack(&self, at: usize, counts: &[u32]) -> u32 {
-        counts.get(self.rooms[at].rack).copied().unwrap_or_default()
+        counts.get(self.workers[at].rack).copied().unwrap_or_default()
     }
 
     fn count_rack(&mut self, name: &'p JobName, rack: usize) {
         let count = self.rack_count;
-        self.racks.entry(name).or_insert_with(|| vec![0; count])[rack] += 1;
+        self.rack_counts.entry(name).or_insert_with(|| vec![0; count])[rack] += 1;
     }
 
-    /// Returns the best spot for a task of `job`: now before later, workers that a wave has done before
-    /// those that it has yet to come to, few of its own kind in the rack before many, accelerators left to those who need them, the fullest worker that has room.
+    /// Returns the best placement for a task of `job`.
+    ///
+    /// In order of preference: capacity that is free now before capacity that becomes free later,
+    /// workers that a maintenance wave has processed before those that it has not, workers without
+    /// accelerators for jobs that use none, racks with few tasks of the job, and the fullest worker
+    /// that fits.
     ///
     /// # Errors
     ///
-    /// Says what is in the way.
+    /// Returns the reason if no worker fits.
     pub fn best_placement(&self, name: &JobName, job: &Job) -> Result<Placement, PendingReason> {
-        let counts = self.racks.get(name).map(Vec::as_slice).unwrap_or_default();
-        let mut is_apart_anywhere = false;
-        let mut best: Option<Rank> = None;
+        let counts = self.rack_counts.get(name).map(Vec::as_slice).unwrap_or_default();
+        let mut has_permitted_worker = false;
+        let mut best: Option<PlacementRank> = None;
         for at in self.schedulable() {
-            let room = &self.rooms[at];
-            if !job.size.fits(room.free_later()) {
+            let usage = &self.workers[at];
+            if !job.size.fits(usage.free_later()) {
                 continue;
             }
-            let is_now = job.size.fits(room.free());
+            let is_now = job.size.fits(usage.free());
             let in_rack = self.in_rack(at, counts);
             if job.spread == Spread::Rack && in_rack > 0 {
                 continue;
             }
-            is_apart_anywhere = true;
-            let rank = Rank {
+            has_permitted_worker = true;
+            let rank = PlacementRank {
                 is_later: !is_now,
-                is_due: room.worker.is_due,
-                wastes: job.size.accelerators == 0 && room.worker.capacity.accelerators > 0,
+                is_due: usage.worker.is_due,
+                wastes_accelerators: job.size.accelerators == 0
+                    && usage.worker.capacity.accelerators > 0,
                 in_rack,
-                left: room.free_later().minus(job.size).dominant_share(room.worker.capacity),
+                free_share: usage
+                    .free_later()
+                    .minus(job.size)
+                    .dominant_share(usage.worker.capacity),
                 at,
             };
             if best.as_ref().is_none_or(|best| rank.is_before(best)) {
@@ -150,56 +160,59 @@
             }
         }
         match best {
-            Some(Rank { is_later: false, at, .. }) => Ok(Placement::Now(at)),
-            Some(Rank { at, .. }) => Ok(Placement::Later(at)),
-            None if is_apart_anywhere || job.spread == Spread::Even => {
+            Some(PlacementRank { is_later: false, at, .. }) => Ok(Placement::Now(at)),
+            Some(PlacementRank { at, .. }) => Ok(Placement::Later(at)),
+            None if has_permitted_worker || job.spread == Spread::Even => {
                 Err(PendingReason::NoCapacity)
             }
-            None => Err(self.rack_hindrance(job)),
+            None => Err(self.spread_pending_reason(job)),
         }
     }
 
-    fn rack_hindrance(&self, job: &Job) -> PendingReason {
-        let has_room = self.schedulable().any(|at| job.size.fits(self.rooms[at].free_later()));
-        if has_room { PendingReason::NoFreeRack } else { PendingReason::NoCapacity }
+    fn spread_pending_reason(&self, job: &Job) -> PendingReason {
+        let has_capacity =
+            self.schedulable().any(|at| job.size.fits(self.workers[at].free_later()));
+        if has_capacity { PendingReason::NoFreeRack } else { PendingReason::NoCapacity }
     }
 
-    /// Takes room for a task of `job`; it is gone for the rest of the plan.
-    pub fn take(&mut self, spot: Placement, name: &'p JobName, job: &Job) {
-        let (Placement::Now(at) | Placement::Later(at)) = spot;
-        let room = &mut self.rooms[at];
-        room.used_later = room.used_later.plus(job.size);
-        if spot == Placement::Now(at) {
-            room.used = room.used.plus(job.size);
+    /// Reserves the resources of a task of `job` for the rest of the plan.
+    pub fn take(&mut self, placement: Placement, name: &'p JobName, job: &Job) {
+        let (Placement::Now(at) | Placement::Later(at)) = placement;
+        let usage = &mut self.workers[at];
+        usage.used_later = usage.used_later.plus(job.size);
+        if placement == Placement::Now(at) {
+            usage.used = usage.used.plus(job.size);
         }
-        let rack = room.rack;
+        let rack = usage.rack;
         self.count_rack(name, rack);
     }
 
-    /// Notes that a task on a worker was told to stop.
+    /// Records that a task on a worker is being stopped, so that its resources become free later.
     pub fn release(&mut self, worker: &HostId, size: Amount) {
         if let Some(at) = self.find(worker) {
-            let room = &mut self.rooms[at];
-            room.used_later = room.used_later.minus(size);
+            let usage = &mut self.workers[at];
+            usage.used_later = usage.used_later.minus(size);
         }
     }
 }
 
-/// How good a worker is for a task.
-struct Rank {
+/// The rank of a worker for a task; the lowest is the best.
+struct PlacementRank {
     is_later: bool,
     is_due: bool,
-    wastes: bool,
+    wastes_accelerators: bool,
     in_rack: u32,
-    left: f64,
+    /// Dominant share of the worker that stays free.
+    free_share: f64,
     at: usize,
 }
 
-impl Rank {
+impl PlacementRank {
     fn is_before(&self, other: &Self) -> bool {
-        let key = |rank: &Self| (rank.is_later, rank.is_due, rank.wastes, rank.in_rack);
+        let key =
+            |rank: &Self| (rank.is_later, rank.is_due, rank.wastes_accelerators, rank.in_rack);
         match key(self).cmp(&key(other)) {
-            std::cmp::Ordering::Equal => self.left < other.left,
+            std::cmp::Ordering::Equal => self.free_share < other.free_share,
             order => order.is_lt(),
         }
     }
--- a/reachhead_plan/src/lib.rs
+++ b/reachhead_plan/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions about placement, as plain functions over explicit state; docs/PLACEMENT.md has the rules.
+//! Scheduling decisions as pure functions over explicit state; docs/PLACEMENT.md has the rules.
 
 pub mod amount;
 pub mod capacity;
--- a/reachhead_plan/src/planner.rs
+++ b/reachhead_plan/src/planner.rs
@@ -1,8 +1,9 @@
-//! Who runs where: a plan for one pool, from its state alone.
+//! The scheduler: computes a plan for one pool from its state alone.
 //!
-//! Groups take turns, the one that has least of what it is owed first, its most urgent job first. What
-//! is left is lent. A group that is owed room which is lent calls it back, but never so much that the
-//! borrower falls below what it is owed itself, so no two groups take from each other in turn.
+//! It places one task at a time: of the group with the lowest usage relative to its fair share, and
+//! of the most urgent job of that group. Capacity that is left over goes to groups above their fair
+//! share. A group below its fair share reclaims such capacity, but never so much that the other
+//! group falls below its own fair share, so two groups can't take capacity from each other in turn.
 
 use std::{
     cmp::Ordering,
@@ -22,38 +23,40 @@
     share::{self, Shares},
 };
 
-/// Room for rounding when shares are compared, in parts of a pool.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for rounding errors when shares are compared, as a fraction of a pool.
+const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Returns the plan for `pool` by the weights of `tree`.
+/// Returns the plan for `pool` with the group weights of `tree`.
 pub fn plan(pool: &Pool, tree: &Tree) -> Plan {
     let mut planner = Planner::new(pool, tree);
-    planner.stop_unwanted();
+    planner.stop_obsolete();
     planner.place();
     planner.finish()
 }
 
-/// A plan in the making.
+/// The state of a plan while it is made.
 struct Planner<'p> {
     pool: &'p Pool,
-    rooms: WorkerCapacities<'p>,
-    /// All that the pool's workers have, those that take nothing for now included: nobody is owed less
-    /// because a wave is under way.
+    capacities: WorkerCapacities<'p>,
+    /// Total resources of all workers. It includes those that accept no tasks at present, so that a
+    /// maintenance wave does not lower fair shares.
     capacity: Amount,
-    /// What each group has by class, with what this plan gives it now or later.
+    /// Usage of each group, with tasks that this plan places now or later.
     used: BTreeMap<&'p GroupName, Usage>,
-    /// What each group has by class, with what this plan gives it now alone.
-    firm: BTreeMap<&'p GroupName, Usage>,
-    owed: Shares,
-    pending: BTreeMap<&'p GroupName, Vec<Pending<'p>>>,
-    /// Tasks that were told to stop, by this plan or an earlier one.
+    /// Usage of each group, with tasks that this plan starts now, without those that it places
+    /// later.
+    started: BTreeMap<&'p GroupName, Usage>,
+    fair_shares: Shares,
+    /// Jobs with tasks to place, by group.
+    pending: BTreeMap<&'p GroupName, Vec<PendingJob<'p>>>,
+    /// Tasks that are being stopped by this plan or an earlier one.
     stopped: BTreeSet<&'p TaskId>,
-    /// Tasks on lent room that may be called back, by worker.
-    lent: Option<BTreeMap<&'p HostId, Vec<&'p TaskId>>>,
+    /// Candidates for preemption by worker; computed when first needed.
+    victim_candidates: Option<BTreeMap<&'p HostId, Vec<&'p TaskId>>>,
     plan: Plan,
 }
 
-/// What a group has, by the class of its work.
+/// The resources that a group uses, by priority class.
 #[derive(Debug, Clone, Copy, Default)]
 struct Usage([Amount; Class::ALL.len()]);
 
@@ -68,52 +71,54 @@
         *amount = amount.minus(job.size);
     }
 
-    /// Returns what work of `class` and more urgent work has.
+    /// Returns the usage of tasks of `class` and of more urgent classes.
     fn up_to(self, class: Class) -> Amount {
         self.0[..=class as usize].iter().fold(Amount::default(), |sum, amount| sum.plus(*amount))
     }
 
+    /// Returns the usage of all classes.
     fn all(self) -> Amount {
         self.up_to(Class::Batch)
     }
 }
 
-/// Whose turn it is.
+/// A pass over the pending tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Turn {
-    /// Tasks that are within what their groups are owed.
-    Owed,
-    /// All others.
-    Lent,
+enum Pass {
+    /// Places tasks within the fair shares of their groups.
+    FairShare,
+    /// Places all other tasks on the capacity that is left.
+    Surplus,
 }
 
-/// A job that is next, by its group and its place among the group's.
-struct Next<'p> {
+/// A reference to a pending job: its group and its index among the pending jobs of the group.
+struct JobRef<'p> {
     group: &'p GroupName,
     index: usize,
 }
 
-/// How soon a job's turn comes.
-struct Rank<'p> {
-    is_calm: bool,
+/// The rank of a pending job; the lowest is placed next.
+struct JobRank<'p> {
+    is_not_urgent: bool,
+    /// Usage of the group relative to its fair share.
     ratio: f64,
-    next: Next<'p>,
+    next: JobRef<'p>,
 }
 
-impl Rank<'_> {
+impl JobRank<'_> {
     fn is_before(&self, other: &Self) -> bool {
-        match self.is_calm.cmp(&other.is_calm) {
+        match self.is_not_urgent.cmp(&other.is_not_urgent) {
             Ordering::Equal => self.ratio < other.ratio,
             order => order.is_lt(),
         }
     }
 }
 
-/// The tasks of a job that have no place.
-struct Pending<'p> {
+/// A job with tasks that are not placed.
+struct PendingJob<'p> {
     name: &'p JobName,
     job: &'p Job,
-    /// Their numbers, the next one last.
+    /// Numbers of the tasks, in descending order; they are taken from the end.
     numbers: Vec<u32>,
 }
 
@@ -123,19 +128,19 @@
             pool.workers.values().fold(Amount::default(), |sum, worker| sum.plus(worker.capacity));
         let mut planner = Self {
             pool,
-            rooms: WorkerCapacities::new(pool),
+            capacities: WorkerCapacities::new(pool),
             capacity,
             used: BTreeMap::new(),
-            firm: BTreeMap::new(),
-            owed: Shares::new(),
+            started: BTreeMap::new(),
+            fair_shares: Shares::new(),
             pending: BTreeMap::new(),
             stopped: BTreeSet::new(),
-            lent: None,
+            victim_candidates: None,
             plan: Plan::default(),
         };
         planner.count_used();
         planner.find_pending();
-        planner.owed = share::fair_shares(tree, &planner.demands(), 1.0);
+        planner.fair_shares = share::fair_shares(tree, &planner.demands(), 1.0);
         planner
     }
 
@@ -149,7 +154,7 @@
                 self.used.entry(&job.group).or_default().add(job);
             }
         }
-        self.firm = self.used.clone();
+        self.started = self.used.clone();
     }
 
     fn find_pending(&mut self) {
@@ -161,57 +166,57 @@
         for (name, job) in &self.pool.jobs {
             let fits = |worker: &crate::pool::Worker| job.size.fits(worker.capacity);
             if !self.pool.workers.values().any(fits) {
-                let hindrance = PendingReason::TooLarge { requested: job.size, largest };
-                self.plan.pending_reasons.insert(name.clone(), hindrance);
+                let reason = PendingReason::TooLarge { requested: job.size, largest };
+                self.plan.pending_reasons.insert(name.clone(), reason);
                 continue;
             }
-            let has_place = |number: &u32| {
+            let is_placed = |number: &u32| {
                 let id = TaskId { job: name.clone(), number: *number };
                 self.pool.tasks.contains_key(&id)
             };
-            let numbers: Vec<u32> = (0..job.tasks).rev().filter(|n| !has_place(n)).collect();
+            let numbers: Vec<u32> = (0..job.tasks).rev().filter(|n| !is_placed(n)).collect();
             if !numbers.is_empty() {
-                let pending = Pending { name, job, numbers };
+                let pending = PendingJob { name, job, numbers };
                 self.pending.entry(&job.group).or_default().push(pending);
             }
         }
         for jobs in self.pending.values_mut() {
-            // The most urgent last, where it is taken from.
+            // The most urgent last, since jobs are taken from the end.
             jobs.sort_by_key(|pending| std::cmp::Reverse(pending.job.class));
         }
     }
 
-    /// Returns what each group asks for, in parts of the pool. Where its tasks are does not matter, so
-    /// nobody is owed more or less because of a plan.
+    /// Returns the demand of each group as a fraction of the pool. It does not depend on where
+    /// tasks are placed, so a plan does not change fair shares.
     fn demands(&self) -> Shares {
-        let mut asked: BTreeMap<&GroupName, Amount> = BTreeMap::new();
+        let mut demands: BTreeMap<&GroupName, Amount> = BTreeMap::new();
         for (name, job) in &self.pool.jobs {
             if self.plan.pending_reasons.contains_key(name) {
                 continue;
             }
-            let asked = asked.entry(&job.group).or_default();
-            *asked = asked.plus(job.size.times(job.tasks));
+            let demands = demands.entry(&job.group).or_default();
+            *demands = demands.plus(job.size.times(job.tasks));
         }
-        let part = |(group, amount): (&&GroupName, &Amount)| {
+        let fraction = |(group, amount): (&&GroupName, &Amount)| {
             ((*group).clone(), amount.dominant_share(self.capacity))
         };
-        asked.iter().map(part).collect()
+        demands.iter().map(fraction).collect()
     }
 
-    /// Stops what nobody wants and what has lost its worker.
-    fn stop_unwanted(&mut self) {
+    /// Stops tasks that are no longer needed and tasks whose worker was removed.
+    fn stop_obsolete(&mut self) {
         for (task, placed) in &self.pool.tasks {
             if placed.is_stopping {
                 continue;
             }
-            let is_wanted =
+            let is_needed =
                 self.pool.jobs.get(&task.job).is_some_and(|job| task.number < job.tasks);
-            if !is_wanted {
+            if !is_needed {
                 self.stop(task, StopReason::Cancelled);
             } else if !self.pool.workers.contains_key(&placed.worker) {
                 self.stop(task, StopReason::WorkerRemoved);
                 if let Some(job) = self.pool.jobs.get(&task.job) {
-                    self.take_off(job);
+                    self.subtract_usage(job);
                 }
             }
         }
@@ -221,39 +226,41 @@
         let job = self.pool.jobs.get(&task.job);
         if let Some(job) = job {
             let worker = &self.pool.tasks[task].worker;
-            self.rooms.release(worker, job.size);
+            self.capacities.release(worker, job.size);
         }
-        // Where the work is wanted again later, what was done should not be lost.
-        let is_wanted = matches!(reason, StopReason::Reclaimed | StopReason::Preempted);
-        let keeps = is_wanted && job.is_some_and(|job| job.has_checkpoint);
-        let mode = if keeps { StopMode::Checkpoint } else { StopMode::Immediate };
+        // A preempted task runs again later, so its progress is kept if possible.
+        let is_needed = matches!(reason, StopReason::Reclaimed | StopReason::Preempted);
+        let takes_checkpoint = is_needed && job.is_some_and(|job| job.has_checkpoint);
+        let mode = if takes_checkpoint { StopMode::Checkpoint } else { StopMode::Immediate };
         self.stopped.insert(task);
         self.plan.actions.push(Action::Stop { task: task.clone(), reason, mode });
     }
 
-    /// Gives every group what it is owed first, and lends what is left then: room that was called back
-    /// for one group must not be lent to another before it gets there.
+    /// Places tasks within fair shares first, and tasks above them afterwards: capacity that was
+    /// reclaimed for one group must not go to another before the first one is placed.
     fn place(&mut self) {
-        for turn in [Turn::Owed, Turn::Lent] {
-            while let Some(next) = self.next_task(turn) {
-                self.place_next(next);
+        for pass in [Pass::FairShare, Pass::Surplus] {
+            while let Some(next) = self.next_job(pass) {
+                self.place_task(next);
             }
         }
     }
 
-    /// Returns the next job in `turn`: of the group that has least of what it is owed, urgent work that
-    /// is owed before all other.
-    fn next_task(&self, turn: Turn) -> Option<Next<'p>> {
-        let mut best: Option<Rank<'p>> = None;
+    /// Returns the next job to place in `pass`: the one of the group with the lowest usage relative
+    /// to its fair share; in the fair-share pass, urgent jobs go first.
+    fn next_job(&self, pass: Pass) -> Option<JobRef<'p>> {
+        let mut best: Option<JobRank<'p>> = None;
         for (&group, jobs) in &self.pending {
-            let is_next = |pending: &Pending<'p>| turn == Turn::Lent || self.is_owed(pending.job);
-            let Some(index) = jobs.iter().rposition(is_next) else {
+            let is_eligible = |pending: &PendingJob<'p>| {
+                pass == Pass::Surplus || self.is_within_share(pending.job)
+            };
+            let Some(index) = jobs.iter().rposition(is_eligible) else {
                 continue;
             };
-            let rank = Rank {
-                is_calm: turn == Turn::Lent || jobs[index].job.class != Class::Urgent,
+            let rank = JobRank {
+                is_not_urgent: pass == Pass::Surplus || jobs[index].job.class != Class::Urgent,
                 ratio: self.ratio(group),
-                next: Next { group, index },
+                next: JobRef { group, index },
             };
             if best.as_ref().is_none_or(|best| rank.is_before(best)) {
                 best = Some(rank);
@@ -262,55 +269,55 @@
         best.map(|rank| rank.next)
     }
 
-    /// Returns what a group has, measured by what it is owed.
+    /// Returns the usage of a group relative to its fair share.
     fn ratio(&self, group: &GroupName) -> f64 {
-        let part =
+        let usage =
             self.used.get(group).map_or(0.0, |used| used.all().dominant_share(self.capacity));
-        let owed = self.owed.get(group).copied().unwrap_or_default();
-        part / owed.max(ROUNDING)
+        let fair_share = self.fair_shares.get(group).copied().unwrap_or_default();
+        usage / fair_share.max(SHARE_TOLERANCE)
     }
 
-    fn place_next(&mut self, next: Next<'p>) {
-        let Next { group, index } = next;
-        let Some(Pending { name, job, .. }) = self.pending_at(&next) else {
+    fn place_task(&mut self, next: JobRef<'p>) {
+        let JobRef { group, index } = next;
+        let Some(PendingJob { name, job, .. }) = self.pending_at(&next) else {
             return;
         };
         let (name, job) = (*name, *job);
-        let spot = self
-            .rooms
+        let placement = self
+            .capacities
             .best_placement(name, job)
-            .or_else(|hindrance| self.call_back(name, job).map(Placement::Later).ok_or(hindrance));
-        let spot = match spot {
-            Ok(spot) => spot,
-            Err(hindrance) => {
-                // The rest of the job needs the same room.
-                self.plan.pending_reasons.insert(name.clone(), hindrance);
-                self.drop_job(group, index);
+            .or_else(|reason| self.preempt(name, job).map(Placement::Later).ok_or(reason));
+        let placement = match placement {
+            Ok(placement) => placement,
+            Err(reason) => {
+                // The other tasks of the job have the same size, so they don't fit either.
+                self.plan.pending_reasons.insert(name.clone(), reason);
+                self.remove_pending(group, index);
                 return;
             }
         };
-        self.rooms.take(spot, name, job);
+        self.capacities.take(placement, name, job);
         self.used.entry(group).or_default().add(job);
         let Some(pending) = self.pending_at(&next) else {
             return;
         };
         let number = pending.numbers.pop();
         if pending.numbers.is_empty() {
-            self.drop_job(group, index);
+            self.remove_pending(group, index);
         }
-        if let (Placement::Now(at), Some(number)) = (spot, number) {
-            self.firm.entry(group).or_default().add(job);
+        if let (Placement::Now(at), Some(number)) = (placement, number) {
+            self.started.entry(group).or_default().add(job);
             let task = TaskId { job: name.clone(), number };
-            let worker = self.rooms.worker_id(at).clone();
+            let worker = self.capacities.worker_id(at).clone();
             self.plan.actions.push(Action::Start { task, worker });
         }
     }
 
-    fn pending_at(&mut self, next: &Next<'p>) -> Option<&mut Pending<'p>> {
+    fn pending_at(&mut self, next: &JobRef<'p>) -> Option<&mut PendingJob<'p>> {
         self.pending.get_mut(next.group)?.get_mut(next.index)
     }
 
-    fn drop_job(&mut self, group: &GroupName, index: usize) {
+    fn remove_pending(&mut self, group: &GroupName, index: usize) {
         if let Some(jobs) = self.pending.get_mut(group) {
             jobs.remove(index);
             if jobs.is_empty() {
@@ -319,34 +326,38 @@
         }
     }
 
-    /// Tells whether a further task of `job` is within what its group is owed. What less urgent work
-    /// has does not count: it gives way to what is more urgent.
-    fn is_owed(&self, job: &Job) -> bool {
+    /// Returns whether one more task of `job` is within the fair share of its group. Less urgent
+    /// tasks of the group don't count, since more urgent ones preempt them.
+    fn is_within_share(&self, job: &Job) -> bool {
         let used = self.used.get(&job.group).copied().unwrap_or_default();
-        let owed = self.owed.get(&job.group).copied().unwrap_or_default();
-        used.up_to(job.class).plus(job.size).dominant_share(self.capacity) <= owed + ROUNDING
+        let fair_share = self.fair_shares.get(&job.group).copied().unwrap_or_default();
+        used.up_to(job.class).plus(job.size).dominant_share(self.capacity)
+            <= fair_share + SHARE_TOLERANCE
     }
 
-    /// Makes room for a task of `job` on the worker where that displaces least, and returns it.
-    fn call_back(&mut self, name: &'p JobName, job: &'p Job) -> Option<usize> {
-        if !self.is_owed(job) {
+    /// Preempts tasks for a task of `job` on the worker where the fewest are needed, and returns
+    /// the index of the worker.
+    fn preempt(&mut self, name: &'p JobName, job: &'p Job) -> Option<usize> {
+        if !self.is_within_share(job) {
             return None;
         }
         let mut best: Option<(usize, Vec<&'p TaskId>)> = None;
-        let open: Vec<usize> = self.rooms.schedulable().collect();
-        for at in open {
-            if !self.rooms.satisfies_spread(at, name, job) || !job.size.fits(self.capacity_at(at)) {
+        let schedulable: Vec<usize> = self.capacities.schedulable().collect();
+        for at in schedulable {
+            if !self.capacities.satisfies_spread(at, name, job)
+                || !job.size.fits(self.capacity_at(at))
+            {
                 continue;
             }
             let limit = best.as_ref().map_or(usize::MAX, |(_, victims)| victims.len());
-            if let Some(victims) = self.victims(at, job, limit) {
+            if let Some(victims) = self.find_victims(at, job, limit) {
                 best = Some((at, victims));
             }
         }
         let (at, victims) = best?;
         for task in victims {
             let victim = &self.pool.jobs[&task.job];
-            self.take_off(victim);
+            self.subtract_usage(victim);
             let is_own = victim.group == job.group;
             self.stop(task, if is_own { StopReason::Preempted } else { StopReason::Reclaimed });
         }
@@ -354,45 +365,48 @@
     }
 
     fn capacity_at(&self, at: usize) -> Amount {
-        self.pool.workers[self.rooms.worker_id(at)].capacity
+        self.pool.workers[self.capacities.worker_id(at)].capacity
     }
 
-    fn take_off(&mut self, job: &Job) {
-        for usages in [&mut self.used, &mut self.firm] {
+    fn subtract_usage(&mut self, job: &Job) {
+        for usages in [&mut self.used, &mut self.started] {
             if let Some(usage) = usages.get_mut(&job.group) {
                 usage.take(job);
             }
         }
     }
 
-    /// Returns fewer than `limit` tasks that make room at a worker, if there are: one that is enough by
-    /// itself, or several, those that lose least first.
-    fn victims(&mut self, at: usize, job: &Job, limit: usize) -> Option<Vec<&'p TaskId>> {
-        let tasks = self.lent_at(self.rooms.worker_id(at));
-        let missing = self.rooms.shortage(at, job);
+    /// Returns fewer than `limit` tasks whose preemption makes room for a task of `job` on a
+    /// worker, if there are: a single one that is large enough, or else several, the cheapest
+    /// first.
+    fn find_victims(&mut self, at: usize, job: &Job, limit: usize) -> Option<Vec<&'p TaskId>> {
+        let tasks = self.preemptible_at(self.capacities.worker_id(at));
+        let missing = self.capacities.shortage(at, job);
         let is_enough = |task: &&&'p TaskId| {
             let victim = &self.pool.jobs[&task.job];
-            missing.fits(victim.size) && self.may_go(job, victim, self.firm_of(&victim.group))
+            missing.fits(victim.size)
+                && self.can_preempt(job, victim, self.started_usage(&victim.group))
         };
         let found = match tasks.iter().find(is_enough) {
             Some(task) => Some(vec![*task]),
-            None => self.several_victims(&tasks, job, missing),
+            None => self.find_several_victims(&tasks, job, missing),
         };
         found.filter(|victims| victims.len() < limit)
     }
 
-    fn several_victims(
+    fn find_several_victims(
         &self,
         tasks: &[&'p TaskId],
         job: &Job,
         mut missing: Amount,
     ) -> Option<Vec<&'p TaskId>> {
-        let mut left: BTreeMap<&GroupName, Usage> = BTreeMap::new();
+        let mut remaining: BTreeMap<&GroupName, Usage> = BTreeMap::new();
         let mut victims = Vec::new();
         for &task in tasks {
             let victim = &self.pool.jobs[&task.job];
-            let usage = left.entry(&victim.group).or_insert_with(|| self.firm_of(&victim.group));
-            if !self.may_go(job, victim, *usage) || !victim.size.overlaps(missing) {
+            let usage =
+                remaining.entry(&victim.group).or_insert_with(|| self.started_usage(&victim.group));
+            if !self.can_preempt(job, victim, *usage) || !victim.size.overlaps(missing) {
                 continue;
             }
             usage.take(victim);
@@ -405,34 +419,35 @@
         None
     }
 
-    fn firm_of(&self, group: &GroupName) -> Usage {
-        self.firm.get(group).copied().unwrap_or_default()
+    fn started_usage(&self, group: &GroupName) -> Usage {
+        self.started.get(group).copied().unwrap_or_default()
     }
 
-    /// Tells whether a task of `victim`, whose group has `usage`, may be stopped for one of `job`.
-    fn may_go(&self, job: &Job, victim: &Job, usage: Usage) -> bool {
+    /// Returns whether a task of `victim`, whose group has `usage`, may be preempted for one of
+    /// `job`.
+    fn can_preempt(&self, job: &Job, victim: &Job, usage: Usage) -> bool {
         match victim.group == job.group {
             true => victim.class > job.class,
-            false => self.is_lent(victim, usage),
+            false => self.is_above_share(victim, usage),
         }
     }
 
-    /// Tells whether a group with `usage` has more than it is owed with a task of `job`, and no less
-    /// without it; work that is less urgent than the task does not count. So it is not owed when it
-    /// waits again.
-    fn is_lent(&self, job: &Job, usage: Usage) -> bool {
-        let owed = self.owed.get(&job.group).copied().unwrap_or_default();
+    /// Returns whether a group with `usage` is above its fair share with a task of `job`, and not
+    /// below it without the task. Tasks that are less urgent don't count. The preempted task is
+    /// then not within the fair share when it waits again.
+    fn is_above_share(&self, job: &Job, usage: Usage) -> bool {
+        let fair_share = self.fair_shares.get(&job.group).copied().unwrap_or_default();
         let with = usage.up_to(job.class);
         let without = with.minus(job.size);
-        with.dominant_share(self.capacity) > owed + ROUNDING
-            && without.dominant_share(self.capacity) + ROUNDING >= owed
+        with.dominant_share(self.capacity) > fair_share + SHARE_TOLERANCE
+            && without.dominant_share(self.capacity) + SHARE_TOLERANCE >= fair_share
     }
 
-    /// Returns the tasks of a worker that could be called back, those that lose least first.
-    fn lent_at(&mut self, id: &'p HostId) -> Vec<&'p TaskId> {
+    /// Returns the tasks of a worker that may be preempted, the cheapest first.
+    fn preemptible_at(&mut self, id: &'p HostId) -> Vec<&'p TaskId> {
         let pool = self.pool;
-        let lent = self.lent.get_or_insert_with(|| by_worker(pool));
-        let tasks = lent.get(id).cloned().unwrap_or_default();
+        let candidates = self.victim_candidates.get_or_insert_with(|| tasks_by_worker(pool));
+        let tasks = candidates.get(id).cloned().unwrap_or_default();
         tasks.into_iter().filter(|task| !self.stopped.contains(task)).collect()
     }
 
@@ -441,21 +456,21 @@
     }
 }
 
-/// Returns the tasks of each worker: batch work first, what can be checkpointed first, the youngest
-/// first.
-fn by_worker(pool: &Pool) -> BTreeMap<&HostId, Vec<&TaskId>> {
+/// Returns the tasks of each worker in the order of preemption: least urgent class first, then
+/// those that can be checkpointed, then the latest placed.
+fn tasks_by_worker(pool: &Pool) -> BTreeMap<&HostId, Vec<&TaskId>> {
     let mut tasks: BTreeMap<&HostId, Vec<&TaskId>> = BTreeMap::new();
     for (task, placed) in &pool.tasks {
-        let is_wanted = pool.jobs.get(&task.job).is_some_and(|job| task.number < job.tasks);
-        if is_wanted && !placed.is_stopping {
+        let is_needed = pool.jobs.get(&task.job).is_some_and(|job| task.number < job.tasks);
+        if is_needed && !placed.is_stopping {
             tasks.entry(&placed.worker).or_default().push(task);
         }
     }
     for tasks in tasks.values_mut() {
         tasks.sort_by_key(|task| {
             let job = &pool.jobs[&task.job];
-            let order = pool.tasks[*task].sequence;
-            (std::cmp::Reverse(job.class), !job.has_checkpoint, std::cmp::Reverse(order))
+            let sequence = pool.tasks[*task].sequence;
+            (std::cmp::Reverse(job.class), !job.has_checkpoint, std::cmp::Reverse(sequence))
         });
     }
     tasks
--- a/reachhead_plan/src/pool.rs
+++ b/reachhead_plan/src/pool.rs
@@ -1,4 +1,4 @@
-//! A pool as the planner sees it, and what it decides.
+//! The input and output of the planner: a pool with its workers, jobs and tasks, and a plan.
 
 use std::{
     collections::BTreeMap,
@@ -20,37 +20,38 @@
     pub zone: ZoneName,
     /// Its rack.
     pub rack: RackName,
-    /// What it has.
+    /// Total resources.
     pub capacity: Amount,
-    /// Whether it takes new tasks: it serves and is not quarantined.
+    /// Whether it accepts new tasks: it is in service and not quarantined.
     pub is_schedulable: bool,
-    /// Whether a wave has yet to come to it, so that what is placed there is soon displaced again.
+    /// Whether a running maintenance wave has yet to process it, so that tasks placed there would
+    /// soon be displaced.
     pub is_due: bool,
 }
 
-/// How the tasks of a job are kept apart.
+/// How the tasks of a job are spread over racks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Spread {
-    /// As evenly over racks as there is room.
+    /// As evenly as free capacity allows.
     #[default]
     Even,
-    /// Never two in a rack.
+    /// At most one task per rack (anti-affinity).
     Rack,
 }
 
-/// A job that wants tasks in the pool.
+/// A job that runs tasks in the pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// The group on whose share it counts.
+    /// The group whose share it uses.
     pub group: GroupName,
     /// Its priority inside the group.
     pub class: Class,
-    /// Tasks that should run.
+    /// Number of tasks that should run.
     pub tasks: u32,
-    /// What a task should be given room for.
+    /// Resources to reserve per task.
     pub size: Amount,
-    /// How its tasks are kept apart.
+    /// How its tasks are spread over racks.
     pub spread: Spread,
     /// Whether its tasks can be checkpointed before they are stopped.
     pub has_checkpoint: bool,
@@ -61,88 +62,88 @@
 pub struct TaskId {
     /// The job.
     pub job: JobName,
-    /// Its number in the job.
+    /// Index of the task in the job, starting at zero.
     pub number: u32,
 }
 
-/// A task that has a place.
+/// A task that is placed on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacedTask {
-    /// Where it runs.
+    /// The worker that it runs on.
     pub worker: HostId,
-    /// When it was placed, as a number that grows.
+    /// Position in the order of placements; larger is later.
     pub sequence: u64,
-    /// Whether it was told to stop and still has its room.
+    /// Whether it is being stopped and still uses its resources.
     pub is_stopping: bool,
 }
 
-/// A pool with its workers, its jobs and the tasks that run.
+/// A pool with its workers, jobs and placed tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Pool {
     /// The workers.
     pub workers: BTreeMap<HostId, Worker>,
     /// The jobs.
     pub jobs: BTreeMap<JobName, Job>,
-    /// The tasks that have a place.
+    /// The placed tasks.
     pub tasks: BTreeMap<TaskId, PlacedTask>,
 }
 
 /// Why a task is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// Nobody wants it any more.
+    /// Its job no longer needs it.
     Cancelled,
-    /// It ran on lent room that its owner needs.
+    /// It ran above the fair share of its group, and another group needs capacity within its own.
     Reclaimed,
-    /// Urgent work of its own group needs its room.
+    /// More urgent work of its own group needs its capacity.
     Preempted,
-    /// Its worker is not there any more.
+    /// Its worker was removed from the pool.
     WorkerRemoved,
 }
 
-/// How a task ends.
+/// How a task is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopMode {
-    /// It writes a checkpoint first.
+    /// After it has written a checkpoint.
     Checkpoint,
-    /// At once.
+    /// Without a checkpoint.
     Immediate,
 }
 
-/// What is to be done.
+/// An action of a plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Start a task.
     Start {
         /// The task.
         task: TaskId,
-        /// Where.
+        /// The worker to start it on.
         worker: HostId,
     },
     /// Stop a task.
     Stop {
         /// The task.
         task: TaskId,
-        /// Why.
+        /// Why it is stopped.
         reason: StopReason,
-        /// How.
+        /// How it is stopped.
         mode: StopMode,
     },
 }
 
-/// Why tasks of a job have no place.
+/// Why tasks of a job are not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PendingReason {
-    /// No worker of the pool is as large as a task; it can never run here.
+    /// A task is larger than every worker of the pool, so it can never run here.
     TooLarge {
-        /// What a task asks for.
+        /// Resources of a task.
         requested: Amount,
-        /// The most that a worker of the pool has, each resource by itself.
+        /// Maximum of each resource over the workers of the pool.
         largest: Amount,
     },
-    /// Every rack that has room has a task of the job already.
+    /// Every rack with free capacity already has a task of the job.
     NoFreeRack,
-    /// There is no room now.
+    /// No worker has enough free capacity at present.
     NoCapacity,
 }
 
@@ -158,11 +159,11 @@
     }
 }
 
-/// A plan.
+/// The actions that the planner chose, and the jobs that have to wait.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// What is to be done, in order.
+    /// Actions in the order in which they are to be carried out.
     pub actions: Vec<Action>,
-    /// The jobs of which tasks have no place, and why.
+    /// Jobs with tasks that are not placed, and why.
     pub pending_reasons: BTreeMap<JobName, PendingReason>,
 }
--- a/reachhead_plan/src/share.rs
+++ b/reachhead_plan/src/share.rs
@@ -1,8 +1,8 @@
-//! What each group is owed of a pool: weighted max-min shares down the tree of groups.
+//! Weighted max-min fair shares of a pool along the tree of groups.
 //!
-//! A group's share is split among its children and its own jobs by weight; what one does not ask for
-//! goes to its siblings first and to the rest of the tree then. So a rival gains nothing by splitting
-//! itself into many groups.
+//! The share of a group is split among its children and its own jobs by weight. What one of them
+//! does not demand goes to its siblings first and then to the rest of the tree, so a group gains
+//! nothing by splitting itself into many.
 
 use std::collections::BTreeMap;
 
@@ -12,56 +12,56 @@
     tree::{DEFAULT_WEIGHT, Tree},
 };
 
-/// Shares smaller than this are nothing, in parts of a pool.
+/// Shares below this fraction of a pool are rounded to zero.
 const NEGLIGIBLE: f64 = 1e-12;
 
-/// Parts of a pool by group.
+/// Fractions of a pool by group.
 pub type Shares = BTreeMap<GroupName, f64>;
 
-/// One that draws on a common share.
+/// A party to a split: a child group, or the jobs of the group itself.
 struct Claimant {
     weight: Weight,
     demand: f64,
 }
 
-/// Returns what each group that asks for something is owed of `capacity`, when each asks for
-/// `demands`; all in parts of the pool.
+/// Returns the fair share of `capacity` of each group in `demands`; all values are fractions of the
+/// pool.
 pub fn fair_shares(tree: &Tree, demands: &Shares, capacity: f64) -> Shares {
-    let nodes = Nodes::new(tree, demands);
-    let mut owed = Shares::new();
-    nodes.split(&nodes.roots, None, capacity, &mut owed);
-    owed
+    let demand_tree = DemandTree::new(tree, demands);
+    let mut shares = Shares::new();
+    demand_tree.split(&demand_tree.roots, None, capacity, &mut shares);
+    shares
 }
 
-/// The groups that matter here: those with a demand, and those above them.
-struct Nodes<'d> {
+/// The part of the tree that has demand: groups with a demand and their ancestors.
+struct DemandTree<'d> {
     weights: BTreeMap<GroupName, Weight>,
     children: BTreeMap<GroupName, Vec<GroupName>>,
     roots: Vec<GroupName>,
-    /// What a group and all below it ask for.
-    totals: Shares,
+    /// Demand of each group with its descendants.
+    total_demands: Shares,
     demands: &'d Shares,
 }
 
-impl<'d> Nodes<'d> {
+impl<'d> DemandTree<'d> {
     fn new(tree: &Tree, demands: &'d Shares) -> Self {
-        let mut nodes = Self {
+        let mut demand_tree = Self {
             weights: BTreeMap::new(),
             children: BTreeMap::new(),
             roots: Vec::new(),
-            totals: Shares::new(),
+            total_demands: Shares::new(),
             demands,
         };
         for (group, demand) in demands {
-            nodes.add(tree, group, *demand);
+            demand_tree.add(tree, group, *demand);
         }
-        nodes
+        demand_tree
     }
 
     fn add(&mut self, tree: &Tree, group: &GroupName, demand: f64) {
         let mut next = Some(group.clone());
         while let Some(name) = next {
-            *self.totals.entry(name.clone()).or_default() += demand;
+            *self.total_demands.entry(name.clone()).or_default() += demand;
             let node = tree.get(&name);
             let parent = node.and_then(|node| node.row.parent.clone());
             let weight = node.map_or(DEFAULT_WEIGHT, |node| node.effective.weight);
@@ -75,37 +75,39 @@
         }
     }
 
-    /// Splits `capacity` among `groups` and the jobs of `own`, their parent.
+    /// Splits `capacity` among `groups` and the jobs of `parent`, their parent.
     fn split(
         &self,
         groups: &[GroupName],
-        own: Option<&GroupName>,
+        parent: Option<&GroupName>,
         capacity: f64,
-        owed: &mut Shares,
+        shares: &mut Shares,
     ) {
         let mut claimants: Vec<Claimant> = groups
             .iter()
-            .map(|name| Claimant { weight: self.weights[name], demand: self.totals[name] })
+            .map(|name| Claimant { weight: self.weights[name], demand: self.total_demands[name] })
             .collect();
-        let own_demand = own.and_then(|own| self.demands.get(own)).copied().unwrap_or_default();
+        let own_demand =
+            parent.and_then(|parent| self.demands.get(parent)).copied().unwrap_or_default();
         claimants.push(Claimant { weight: DEFAULT_WEIGHT, demand: own_demand });
-        let parts = fill(&claimants, capacity);
+        let parts = water_fill(&claimants, capacity);
         for (name, &part) in groups.iter().zip(&parts) {
             let children = self.children.get(name).map(Vec::as_slice).unwrap_or_default();
-            self.split(children, Some(name), part, owed);
+            self.split(children, Some(name), part, shares);
         }
-        if let (Some(own), Some(&part)) = (own, parts.last())
+        if let (Some(parent), Some(&part)) = (parent, parts.last())
             && own_demand > 0.0
         {
-            owed.insert(own.clone(), part);
+            shares.insert(parent.clone(), part);
         }
     }
 }
 
-/// Splits `capacity` by weight, nobody getting more than its demand: exact water filling.
-fn fill(claimants: &[Claimant], capacity: f64) -> Vec<f64> {
+/// Splits `capacity` by weight, with no part larger than its demand, by exact water-filling.
+fn water_fill(claimants: &[Claimant], capacity: f64) -> Vec<f64> {
     let mut parts = vec![0.0; claimants.len()];
-    // The level at which a claimant has all it asks for; those with the lowest are done first.
+    // The water level at which the demand of a claimant is met; the lowest levels are handled
+    // first.
     let level = |claimant: &Claimant| claimant.demand / f64::from(claimant.weight.0.max(1));
     let mut order: Vec<usize> = (0..claimants.len()).collect();
     order.sort_by(|&a, &b| level(&claimants[a]).total_cmp(&level(&claimants[b])));
--- a/reachhead_plan/tests/facts.rs
+++ b/reachhead_plan/tests/estimate_and_failures.rs
@@ -1,4 +1,4 @@
-//! Estimates and health against naive versions.
+//! Size estimates and failure attribution, compared with naive implementations.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -35,56 +35,56 @@
         if count == 0 {
             return estimate == declared;
         }
-        // The smallest report that at least 95% of them don't pass.
+        // The smallest report that is at least as large as 95% of the reports.
         let upper = latest.iter().find(|value| {
             latest.iter().filter(|other| other <= value).count() * 100 >= count * 95
         });
-        let cautious = (*upper.unwrap() as f64 * (1.0 + 0.5 / (count as f64).sqrt())).ceil() as u64;
-        let expected = if count < 8 { cautious.max(declared.cores) } else { cautious };
+        let padded = (*upper.unwrap() as f64 * (1.0 + 0.5 / (count as f64).sqrt())).ceil() as u64;
+        let expected = if count < 8 { padded.max(declared.cores) } else { padded };
         estimate.cores == expected && estimate.accelerators == 3
     }
 
     fn a_worker_is_quarantined_for_several_jobs_that_run_elsewhere(results: Vec<(u8, u8, bool)>) -> bool {
         let results = &results[..results.len().min(30)];
-        let mut health = FailureTracker::new();
+        let mut tracker = FailureTracker::new();
         for &(at, of, is_good) in results {
             match is_good {
-                true => health.record_success(&worker(at), &job(of)),
-                false => health.record_failure(&worker(at), &job(of)),
+                true => tracker.record_success(&worker(at), &job(of)),
+                false => tracker.record_failure(&worker(at), &job(of)),
             }
         }
-        // The naive version walks back through all results.
-        let since = |is_own: &dyn Fn(&(u8, u8, bool)) -> bool| -> Vec<(u8, u8)> {
+        // The naive implementation searches all results backwards.
+        let failures_since_success = |is_own: &dyn Fn(&(u8, u8, bool)) -> bool| -> Vec<(u8, u8)> {
             let own = results.iter().rev().filter(|result| is_own(result));
             own.take_while(|result| !result.2).map(|result| (result.0 % 5, result.1 % 5)).collect()
         };
         (0..5).all(|number| {
-            let failed = since(&|result| result.0 % 5 == number);
+            let failed = failures_since_success(&|result| result.0 % 5 == number);
             let everywhere = |of: u8| {
-                let workers = since(&|result| result.1 % 5 == of);
+                let workers = failures_since_success(&|result| result.1 % 5 == of);
                 workers.iter().map(|pair| pair.0).collect::<BTreeSet<_>>().len() >= FAILING_MIN_WORKERS
             };
             let jobs: BTreeSet<u8> =
                 failed.iter().map(|pair| pair.1).filter(|&of| !everywhere(of)).collect();
-            health.is_quarantined(&worker(number)) == (jobs.len() >= QUARANTINE_MIN_JOBS)
+            tracker.is_quarantined(&worker(number)) == (jobs.len() >= QUARANTINE_MIN_JOBS)
         })
     }
 }
 
 #[test]
 fn a_job_that_fails_everywhere_is_to_blame_and_not_its_workers() {
-    let mut health = FailureTracker::new();
+    let mut tracker = FailureTracker::new();
     for number in 0..4 {
-        health.record_failure(&worker(number), &job(0));
+        tracker.record_failure(&worker(number), &job(0));
     }
-    assert!(health.is_failing(&job(0)));
+    assert!(tracker.is_failing(&job(0)));
     for number in 1..4 {
-        health.record_failure(&worker(0), &job(number));
+        tracker.record_failure(&worker(0), &job(number));
     }
-    assert!(health.is_quarantined(&worker(0)));
-    assert!(!health.is_failing(&job(1)), "one worker is no proof");
-    health.forget_worker(&worker(0));
-    assert!(!health.is_quarantined(&worker(0)));
-    health.record_success(&worker(1), &job(0));
-    assert!(!health.is_failing(&job(0)));
+    assert!(tracker.is_quarantined(&worker(0)));
+    assert!(!tracker.is_failing(&job(1)), "one worker is no proof");
+    tracker.forget_worker(&worker(0));
+    assert!(!tracker.is_quarantined(&worker(0)));
+    tracker.record_success(&worker(1), &job(0));
+    assert!(!tracker.is_failing(&job(0)));
 }
--- a/reachhead_plan/tests/planner.rs
+++ b/reachhead_plan/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Plans for random pools, carried out and made again, against rules that are checked naively.
+//! Plans for random pools, applied and repeated, checked against simple rules.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -21,8 +21,8 @@
     tree::{Overrides, Tree},
 };
 
-/// Plans within which a pool that nobody changes must come to rest.
-const REST_LIMIT: usize = 20;
+/// Number of plans within which an unchanged pool must converge.
+const MAX_PLANS: usize = 20;
 
 fn tree() -> Tree {
     let row = |parent: Option<&str>, weight: u32| GroupRow {
@@ -73,13 +73,13 @@
     }
 }
 
-/// A pool that changes, and whose plans are carried out.
-struct World {
+/// A pool that changes and to which plans are applied.
+struct SimulatedPool {
     pool: Pool,
     sequence: u64,
 }
 
-impl World {
+impl SimulatedPool {
     fn new() -> Self {
         let workers = (0..6).map(|number| (worker(number), new_worker(number, number, true)));
         Self { pool: Pool { workers: workers.collect(), ..Pool::default() }, sequence: 0 }
@@ -94,7 +94,7 @@
                 }
             }
             2 => drop(self.pool.workers.remove(&worker(one))),
-            // A burst of cancellations.
+            // Many cancellations at once.
             3 => {
                 for job in self.pool.jobs.values_mut() {
                     job.tasks = job.tasks.min(u32::from(two % 3));
@@ -107,7 +107,7 @@
             }
             _ => {
                 let name = job_name(one);
-                // The size of a running job stays: another size is another job.
+                // The size of a running job can't change.
                 let size = self.pool.jobs.get(&name).map(|job| job.size);
                 let mut job = new_job(one, two);
                 job.size = size.unwrap_or(job.size);
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Carries a plan out; what is stopping lasts until the next plan.
-    fn carry_out(&mut self, plan: &Plan) {
+    /// Applies a plan; tasks that are being stopped end with the next plan.
+    fn apply(&mut self, plan: &Plan) {
         self.pool.tasks.retain(|_, placed| !placed.is_stopping);
         for action in &plan.actions {
             match action {
@@ -142,7 +142,7 @@
         workers.fold(Amount::default(), |sum, worker| sum.plus(worker.capacity))
     }
 
-    /// Returns what the wanted tasks of each group that are not stopping have.
+    /// Returns the usage of each group by needed tasks that are not being stopped.
     fn used(&self) -> BTreeMap<GroupName, Amount> {
         let mut used: BTreeMap<GroupName, Amount> = BTreeMap::new();
         for (task, placed) in &self.pool.tasks {
@@ -155,7 +155,7 @@
         used
     }
 
-    /// Returns what a group's tasks of `class` and of more urgent ones have.
+    /// Returns the usage of a group by tasks of `class` and of more urgent classes.
     fn used_up_to(&self, group: &GroupName, class: Class) -> Amount {
         let tasks = self.pool.tasks.iter().filter(|(_, placed)| !placed.is_stopping);
         let jobs = tasks.filter_map(|(task, _)| self.pool.jobs.get(&task.job));
@@ -179,7 +179,8 @@
         fair_shares(&tree(), &demands.collect(), 1.0)
     }
 
-    /// Returns what is free on a worker without `given_up`; what is stopping still has its room.
+    /// Returns the free capacity of a worker if `given_up` was released; tasks that are being
+    /// stopped still use theirs.
     fn free(&self, id: &HostId, given_up: Amount) -> Amount {
         let tasks = self.pool.tasks.iter().filter(|(_, placed)| placed.worker == *id);
         let sizes = tasks.filter_map(|(task, _)| self.pool.jobs.get(&task.job)).map(|job| job.size);
@@ -187,7 +188,7 @@
         self.pool.workers[id].capacity.minus(used.minus(given_up))
     }
 
-    fn is_apart(&self, name: &JobName, id: &HostId) -> bool {
+    fn satisfies_spread(&self, name: &JobName, id: &HostId) -> bool {
         let rack = &self.pool.workers[id].rack;
         self.pool.jobs[name].spread == Spread::Even
             || !self.pool.tasks.iter().any(|(task, placed)| {
@@ -196,10 +197,10 @@
             })
     }
 
-    /// Checks a plan before it is carried out, by rules that look at one action at a time.
+    /// Checks each action of a plan before the plan is applied.
     fn check(&self, plan: &Plan) -> Result<(), String> {
-        let mut after = World { pool: self.pool.clone(), sequence: self.sequence };
-        let owed = self.fair_shares();
+        let mut after = SimulatedPool { pool: self.pool.clone(), sequence: self.sequence };
+        let shares = self.fair_shares();
         let mut seen = BTreeSet::new();
         for action in &plan.actions {
             match action {
@@ -207,17 +208,17 @@
                     let Some(job) = self.pool.jobs.get(&task.job) else {
                         return Err(format!("{task:?} of no job"));
                     };
-                    let is_wanted = task.number < job.tasks && !after.pool.tasks.contains_key(task);
-                    if !is_wanted || !seen.insert(task) {
-                        return Err(format!("{task:?} is started without need"));
+                    let is_needed = task.number < job.tasks && !after.pool.tasks.contains_key(task);
+                    if !is_needed || !seen.insert(task) {
+                        return Err(format!("{task:?} is started but not needed"));
                     }
                     if !self.pool.workers[worker].is_schedulable
                         || !job.size.fits(after.free(worker, Amount::default()))
                     {
                         return Err(format!("{task:?} does not fit on {worker}"));
                     }
-                    if !after.is_apart(&task.job, worker) {
-                        return Err(format!("{task:?} is not apart on {worker}"));
+                    if !after.satisfies_spread(&task.job, worker) {
+                        return Err(format!("{task:?} violates its spread on {worker}"));
                     }
                     let placed =
                         PlacedTask { worker: worker.clone(), sequence: 0, is_stopping: false };
@@ -229,20 +230,20 @@
                     }
                     let job = self.pool.jobs.get(&task.job);
                     let keeps = job.is_some_and(|job| job.has_checkpoint);
-                    let is_wanted = matches!(reason, StopReason::Reclaimed | StopReason::Preempted);
-                    if is_wanted && keeps != (*mode == StopMode::Checkpoint) {
-                        return Err(format!("{task:?} ends by {mode:?}"));
+                    let is_needed = matches!(reason, StopReason::Reclaimed | StopReason::Preempted);
+                    if is_needed && keeps != (*mode == StopMode::Checkpoint) {
+                        return Err(format!("{task:?} is stopped by {mode:?}"));
                     }
                     after.pool.tasks.get_mut(task).unwrap().is_stopping = true;
                 }
             }
         }
-        let called_back = plan.actions.iter().filter_map(|action| match action {
+        let reclaimed = plan.actions.iter().filter_map(|action| match action {
             Action::Stop { task, reason: StopReason::Reclaimed, .. } => Some(&task.job),
             _ => None,
         });
         let mut used = after.used();
-        // What a group gives up for its own urgent work is still its own.
+        // Capacity that a group gives up for its own urgent tasks still counts for it.
         for action in &plan.actions {
             if let Action::Stop { task, reason: StopReason::Preempted, .. } = action {
                 let job = &self.pool.jobs[&task.job];
@@ -250,46 +251,46 @@
                 *used = used.plus(job.size);
             }
         }
-        for job in called_back {
+        for job in reclaimed {
             let group = &self.pool.jobs[job].group;
             let left = used.get(group).copied().unwrap_or_default().dominant_share(self.capacity());
-            let owed = owed.get(group).copied().unwrap_or_default();
-            if left + 1e-6 < owed {
-                return Err(format!("{group} is left {left} of the {owed} that it is owed"));
+            let share = shares.get(group).copied().unwrap_or_default();
+            if left + 1e-6 < share {
+                return Err(format!("{group} is left {left} of its fair share {share}"));
             }
         }
         Ok(())
     }
 
-    /// Checks a pool at rest: nothing that waits could have a place.
-    fn check_rest(&self, plan: &Plan) -> Result<(), String> {
-        let (owed, capacity) = (self.fair_shares(), self.capacity());
+    /// Checks a converged pool: no pending task could be placed.
+    fn check_converged(&self, plan: &Plan) -> Result<(), String> {
+        let (shares, capacity) = (self.fair_shares(), self.capacity());
         for (name, job) in &self.pool.jobs {
             let is_waiting = (0..job.tasks)
                 .any(|number| !self.pool.tasks.contains_key(&TaskId { job: name.clone(), number }));
             if !is_waiting {
                 continue;
             }
-            let Some(hindrance) = plan.pending_reasons.get(name) else {
-                return Err(format!("nobody says why {name} waits"));
+            let Some(reason) = plan.pending_reasons.get(name) else {
+                return Err(format!("no reason why {name} is pending"));
             };
-            if self.can_ever_run(job) == matches!(hindrance, PendingReason::TooLarge { .. }) {
-                return Err(format!("{name} is said to wait by {hindrance:?}"));
+            if self.can_ever_run(job) == matches!(reason, PendingReason::TooLarge { .. }) {
+                return Err(format!("{name} is pending for the wrong reason {reason:?}"));
             }
             let open = self.pool.workers.iter().filter(|(_, worker)| worker.is_schedulable);
             for (id, _) in open {
-                if !self.is_apart(name, id) {
+                if !self.satisfies_spread(name, id) {
                     continue;
                 }
                 if job.size.fits(self.free(id, Amount::default())) {
-                    return Err(format!("{name} waits and fits on {id}"));
+                    return Err(format!("{name} is pending but fits on {id}"));
                 }
                 let own = self.used_up_to(&job.group, job.class).plus(job.size);
-                let own_owed = owed.get(&job.group).copied().unwrap_or_default();
-                if own.dominant_share(capacity) > own_owed + 1e-9 {
+                let own_share = shares.get(&job.group).copied().unwrap_or_default();
+                if own.dominant_share(capacity) > own_share + 1e-9 {
                     continue;
                 }
-                // One task on lent room would be enough to call back.
+                // Preempting a single task above the fair share of its group must not be enough.
                 for (task, placed) in &self.pool.tasks {
                     let Some(other) = self.pool.jobs.get(&task.job) else { continue };
                     if other.group == job.group && other.class <= job.class {
@@ -297,14 +298,15 @@
                     }
                     let left = self.used_up_to(&other.group, other.class);
                     let left = left.minus(other.size).dominant_share(capacity);
-                    let keeps = left + 1e-6 >= owed.get(&other.group).copied().unwrap_or_default();
+                    let keeps =
+                        left + 1e-6 >= shares.get(&other.group).copied().unwrap_or_default();
                     let fits = job.size.fits(self.free(id, other.size));
                     if placed.worker == *id
                         && keeps
                         && fits
-                        && left > 1e-6 + owed.get(&other.group).copied().unwrap_or_default()
+                        && left > 1e-6 + shares.get(&other.group).copied().unwrap_or_default()
                     {
-                        return Err(format!("{name} is owed the room that {task:?} has on {id}"));
+                        return Err(format!("{name} should preempt {task:?} on {id}"));
                     }
                 }
             }
@@ -315,32 +317,32 @@
 
 properties! {
     fn plans_keep_the_rules_and_come_to_rest(changes: Vec<Vec<(u8, u8, u8)>>) -> bool {
-        let mut world = World::new();
+        let mut simulated = SimulatedPool::new();
         let tree = tree();
         for changes in changes.into_iter().take(8) {
             for change in changes.into_iter().take(12) {
-                world.change(change);
+                simulated.change(change);
             }
-            let mut is_at_rest = false;
-            for _ in 0..REST_LIMIT {
-                let next = plan(&world.pool, &tree);
-                if let Err(wrong) = world.check(&next) {
-                    eprintln!("wrong: {wrong}");
+            let mut has_converged = false;
+            for _ in 0..MAX_PLANS {
+                let next = plan(&simulated.pool, &tree);
+                if let Err(violation) = simulated.check(&next) {
+                    eprintln!("invalid plan: {violation}");
                     return false;
                 }
-                let was_stopping = world.pool.tasks.values().any(|placed| placed.is_stopping);
-                world.carry_out(&next);
+                let was_stopping = simulated.pool.tasks.values().any(|placed| placed.is_stopping);
+                simulated.apply(&next);
                 if next.actions.is_empty() && !was_stopping {
-                    if let Err(wrong) = world.check_rest(&next) {
-                        eprintln!("at rest: {wrong}");
+                    if let Err(violation) = simulated.check_converged(&next) {
+                        eprintln!("converged pool: {violation}");
                         return false;
                     }
-                    is_at_rest = true;
+                    has_converged = true;
                     break;
                 }
             }
-            if !is_at_rest {
-                eprintln!("no rest");
+            if !has_converged {
+                eprintln!("no convergence");
                 return false;
             }
         }
@@ -349,20 +351,20 @@
 }
 
 #[test]
-fn a_job_that_can_never_run_is_told_so_with_the_reason() {
-    let mut world = World::new();
+fn a_job_that_is_too_large_for_the_pool_is_pending_with_the_reason() {
+    let mut simulated = SimulatedPool::new();
     let mut job = new_job(4, 0);
     (job.tasks, job.size) = (1, Amount::new(64_000, 1024, 0));
-    world.pool.jobs.insert(job_name(0), job);
-    let plan = plan(&world.pool, &tree());
+    simulated.pool.jobs.insert(job_name(0), job);
+    let plan = plan(&simulated.pool, &tree());
     assert!(plan.actions.is_empty());
     let text = plan.pending_reasons[&job_name(0)].to_string();
     assert!(text.contains("asks 64 cores") && text.contains("has 16 cores"), "{text}");
 }
 
 #[test]
-fn urgent_and_normal_work_take_the_room_of_their_own_groups_batch_work() {
-    let mut world = World::new();
+fn urgent_and_normal_tasks_preempt_batch_tasks_of_their_group() {
+    let mut simulated = SimulatedPool::new();
     let of = |class, tasks| Job {
         group: group(1),
         class,
@@ -371,23 +373,23 @@
         spread: Spread::Even,
         has_checkpoint: false,
     };
-    world.pool.jobs.insert(job_name(0), of(Class::Batch, 1000));
-    world.carry_out(&plan(&world.pool, &tree()));
-    world.pool.jobs.insert(job_name(1), of(Class::Urgent, 3));
-    world.pool.jobs.insert(job_name(2), of(Class::Normal, 3));
-    let next = plan(&world.pool, &tree());
-    let yielded = next.actions.iter().filter(|action| {
+    simulated.pool.jobs.insert(job_name(0), of(Class::Batch, 1000));
+    simulated.apply(&plan(&simulated.pool, &tree()));
+    simulated.pool.jobs.insert(job_name(1), of(Class::Urgent, 3));
+    simulated.pool.jobs.insert(job_name(2), of(Class::Normal, 3));
+    let next = plan(&simulated.pool, &tree());
+    let preempted = next.actions.iter().filter(|action| {
         matches!(
             action,
             Action::Stop { reason: StopReason::Preempted, mode: StopMode::Immediate, .. }
         )
     });
-    assert_eq!(yielded.count(), 6, "each task that is more urgent takes the room of one");
+    assert_eq!(preempted.count(), 6, "each more urgent task preempts one");
 }
 
 #[test]
-fn urgent_work_that_is_owed_gets_lent_room_back_in_the_next_plan() {
-    let mut world = World::new();
+fn urgent_tasks_within_their_fair_share_reclaim_capacity_in_the_next_plan() {
+    let mut simulated = SimulatedPool::new();
     let full = |group: &str, class, tasks| Job {
         group: group.parse().unwrap(),
         class,
@@ -396,22 +398,22 @@
         spread: Spread::Even,
         has_checkpoint: true,
     };
-    world.pool.jobs.insert(job_name(0), full("blue", Class::Batch, 1000));
-    let first = plan(&world.pool, &tree());
-    world.carry_out(&first);
-    let lent = world.pool.tasks.len();
-    world.pool.jobs.insert(job_name(1), full("red", Class::Urgent, 5));
-    let second = plan(&world.pool, &tree());
+    simulated.pool.jobs.insert(job_name(0), full("blue", Class::Batch, 1000));
+    let first = plan(&simulated.pool, &tree());
+    simulated.apply(&first);
+    let running = simulated.pool.tasks.len();
+    simulated.pool.jobs.insert(job_name(1), full("red", Class::Urgent, 5));
+    let second = plan(&simulated.pool, &tree());
     let checkpoints = second.actions.iter().filter(|action| {
         matches!(
             action,
             Action::Stop { mode: StopMode::Checkpoint, reason: StopReason::Reclaimed, .. }
         )
     });
-    assert_eq!(checkpoints.count(), 5, "as many as are needed and no more, of {lent}");
-    world.carry_out(&second);
-    world.carry_out(&plan(&world.pool, &tree()));
-    world.carry_out(&plan(&world.pool, &tree()));
-    let urgent = world.pool.tasks.keys().filter(|task| task.job == job_name(1)).count();
+    assert_eq!(checkpoints.count(), 5, "exactly as many as needed of {running}");
+    simulated.apply(&second);
+    simulated.apply(&plan(&simulated.pool, &tree()));
+    simulated.apply(&plan(&simulated.pool, &tree()));
+    let urgent = simulated.pool.tasks.keys().filter(|task| task.job == job_name(1)).count();
     assert_eq!(urgent, 5);
 }
--- a/reachhead_plan/tests/share.rs
+++ b/reachhead_plan/tests/share.rs
@@ -1,4 +1,4 @@
-//! Shares down the tree against a naive filler that hands out one small step after the other.
+//! Fair shares, compared with a naive implementation that assigns capacity in small steps.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -13,7 +13,7 @@
     tree::{Overrides, Tree},
 };
 
-/// Steps in which the naive version hands out a pool.
+/// Number of steps in which the naive implementation assigns a pool.
 const STEPS: usize = 4000;
 
 type Drawn = (u8, u8, u8);
@@ -39,28 +39,35 @@
     drawn.iter().enumerate().filter_map(demand).collect()
 }
 
-/// Gives each step to the leaf that is found by going down to whoever has least for its weight.
+/// Assigns each step to the group found by descending to the child with the lowest share per
+/// weight.
 fn naive(tree: &Tree, demands: &Shares, capacity: f64) -> Shares {
     let step = capacity / STEPS as f64;
-    let mut owed: Shares = demands.keys().map(|group| (group.clone(), 0.0)).collect();
+    let mut shares: Shares = demands.keys().map(|group| (group.clone(), 0.0)).collect();
     for _ in 0..STEPS {
-        let Some(group) = descend(tree, demands, &owed, None) else { break };
-        *owed.get_mut(&group).unwrap() += step;
+        let Some(group) = descend(tree, demands, &shares, None) else { break };
+        *shares.get_mut(&group).unwrap() += step;
     }
-    owed
+    shares
 }
 
 fn descend(
     tree: &Tree,
     demands: &Shares,
-    owed: &Shares,
+    shares: &Shares,
     parent: Option<&GroupName>,
 ) -> Option<GroupName> {
     let total = |group: &GroupName| -> f64 {
-        owed.iter().filter(|(name, _)| is_below(tree, name, group)).map(|(_, owed)| owed).sum()
+        shares
+            .iter()
+            .filter(|(name, _)| is_descendant(tree, name, group))
+            .map(|(_, share)| share)
+            .sum()
     };
-    let is_hungry = |group: &GroupName| {
-        demands.iter().any(|(name, demand)| is_below(tree, name, group) && owed[name] < *demand)
+    let has_unmet_demand = |group: &GroupName| {
+        demands
+            .iter()
+            .any(|(name, demand)| is_descendant(tree, name, group) && shares[name] < *demand)
     };
     let mut best: Option<(f64, Option<GroupName>)> = None;
     let mut consider = |level: f64, group: Option<GroupName>| {
@@ -69,25 +76,25 @@
         }
     };
     if let Some(own) = parent
-        && demands.get(own).is_some_and(|demand| owed[own] < *demand)
+        && demands.get(own).is_some_and(|demand| shares[own] < *demand)
     {
-        consider(owed[own], None);
+        consider(shares[own], None);
     }
     for (group, node) in tree.iter() {
-        if node.row.parent.as_ref() == parent && is_hungry(group) {
+        if node.row.parent.as_ref() == parent && has_unmet_demand(group) {
             consider(total(group) / f64::from(node.effective.weight.0), Some(group.clone()));
         }
     }
     match best? {
         (_, None) => parent.cloned(),
-        (_, Some(group)) => descend(tree, demands, owed, Some(&group)),
+        (_, Some(group)) => descend(tree, demands, shares, Some(&group)),
     }
 }
 
-fn is_below(tree: &Tree, group: &GroupName, above: &GroupName) -> bool {
+fn is_descendant(tree: &Tree, group: &GroupName, ancestor: &GroupName) -> bool {
     let mut next = Some(group);
     while let Some(name) = next {
-        if name == above {
+        if name == ancestor {
             return true;
         }
         next = tree.get(name).unwrap().row.parent.as_ref();
@@ -101,19 +108,19 @@
         let (tree, demands) = (tree(drawn), demands(drawn));
         let exact = fair_shares(&tree, &demands, 1.0);
         let naive = naive(&tree, &demands, 1.0);
-        // A step may be off at each group on the way.
-        let room = 8.0 * 1.0 / STEPS as f64;
+        // The result may be off by one step at each level of the tree.
+        let tolerance = 8.0 * 1.0 / STEPS as f64;
         let of = |shares: &Shares, group: &GroupName| shares.get(group).copied().unwrap_or_default();
-        demands.keys().all(|group| (of(&exact, group) - of(&naive, group)).abs() < room)
+        demands.keys().all(|group| (of(&exact, group) - of(&naive, group)).abs() < tolerance)
     }
 
     fn nobody_gets_more_than_it_asks_and_nothing_asked_for_is_left(drawn: Vec<(u8, u8, u8)>) -> bool {
         let drawn = &drawn[..drawn.len().min(30)];
         let (tree, demands) = (tree(drawn), demands(drawn));
-        let owed = fair_shares(&tree, &demands, 1.0);
-        let given: f64 = owed.values().sum();
+        let shares = fair_shares(&tree, &demands, 1.0);
+        let given: f64 = shares.values().sum();
         let asked: f64 = demands.values().sum();
-        owed.iter().all(|(group, part)| *part <= demands[group] + 1e-9)
+        shares.iter().all(|(group, part)| *part <= demands[group] + 1e-9)
             && (given - asked.min(1.0)).abs() < 1e-9
     }
 
@@ -123,14 +130,14 @@
             parent: parent.map(name),
             settings: Overrides { weight: Some(Weight(weight)), ..Overrides::default() },
         };
-        // Two rivals of the same weight; the second has split itself.
+        // Two groups of the same weight; the second one has split itself.
         let mut rows = BTreeMap::from([(name(0), row(None, 1)), (name(1), row(None, 1))]);
         let mut demands = Shares::from([(name(0), 2.0)]);
         for part in 0..parts {
             rows.insert(name(2 + part), row(Some(1), u32::from(weight % 9) + 1));
             demands.insert(name(2 + part), 2.0);
         }
-        let owed = fair_shares(&Tree::new(rows).unwrap(), &demands, 1.0);
-        (owed[&name(0)] - 0.5).abs() < 1e-9
+        let shares = fair_shares(&Tree::new(rows).unwrap(), &demands, 1.0);
+        (shares[&name(0)] - 0.5).abs() < 1e-9
     }
 }
--- a/reachhead_pool/src/budget.rs
+++ b/reachhead_pool/src/budget.rs
@@ -1,4 +1,5 @@
-//! Availability budgets: how many minions of a service may be unavailable at once, across all pools.
+//! Availability budgets: how many minions of a service may be unavailable at once, across all
+//! pools.
 //!
 //! Planned disruptions are recorded in one budget row per service. The row is written in the same
 //! transaction that starts the drain of a host, so two pool owners can't both spend the last unit.
@@ -89,8 +90,8 @@
         self.by_host.get(host).into_iter().flatten()
     }
 
-    /// Returns how many minions of `service` are unavailable if the hosts in `draining`, which hold a
-    /// part of its budget, and those in `unavailable` are out of service.
+    /// Returns how many minions of `service` are unavailable if the hosts in `draining`, which hold
+    /// a part of its budget, and those in `unavailable` are out of service.
     pub fn count_unavailable(
         &self,
         service: &ServiceName,
@@ -133,9 +134,9 @@
 
     /// Returns the priority of `host` in a wave that has yet to drain the hosts in `remaining`.
     ///
-    /// A service needs at least as many batches as its remaining minions fill its budget. The service
-    /// with the most batches determines how long the wave takes, so its hosts must not be the ones
-    /// that wait.
+    /// A service needs at least as many batches as its remaining minions fill its budget. The
+    /// service with the most batches determines how long the wave takes, so its hosts must not be
+    /// the ones that wait.
     pub fn priority(&self, host: &HostId, remaining: &BTreeSet<HostId>) -> Priority {
         let batches = |service: &ServiceName| {
             let placement = self.services.get(service);
--- a/reachhead_pool/src/controller/leases.rs
+++ b/reachhead_pool/src/controller/leases.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Returns whether another host has owned the pool for longer than the hand-over timeout although
-    /// this host is preferred.
+    /// Returns whether another host has owned the pool for longer than the hand-over timeout
+    /// although this host is preferred.
     fn is_overdue(&mut self, pool: &PoolName) -> bool {
         let since = self.awaited_since.entry(pool.clone()).or_insert_with(BootInstant::now);
         since.elapsed() >= self.limits.hand_over_timeout
--- a/reachhead_pool/src/controller/mod.rs
+++ b/reachhead_pool/src/controller/mod.rs
@@ -1,8 +1,9 @@
-//! The pool controller of one entry host: reconciles leases, then the hosts of the pools that it owns.
+//! The pool controller of one entry host: reconciles leases, then the hosts of the pools that it
+//! owns.
 //!
-//! A round reads the lease, head and wave rows of all relevant pools in one call. The hosts of a pool
-//! are read again only if its head has changed. All state can be rebuilt from the store, so a restarted
-//! controller needs nothing else.
+//! A round reads the lease, head and wave rows of all relevant pools in one call. The hosts of a
+//! pool are read again only if its head has changed. All state can be rebuilt from the store, so a
+//! restarted controller needs nothing else.
 
 mod leases;
 mod steps;
@@ -42,8 +43,8 @@
 /// The input of a round, taken from the configuration and the membership list.
 #[derive(Debug, Clone, Default)]
 pub struct RoundInput {
-    /// This host and its incarnation on the membership list; `None` if it is not on the list, so that
-    /// it can't own a pool.
+    /// This host and its incarnation on the membership list; `None` if it is not on the list, so
+    /// that it can't own a pool.
     pub own: Option<MemberId>,
     /// The entry hosts on the membership list.
     pub candidates: Vec<Candidate>,
@@ -166,8 +167,8 @@
     ///
     /// # Errors
     ///
-    /// Returns any [`StoreError`]; the round may have been applied in part, and the next one continues
-    /// from the stored rows.
+    /// Returns any [`StoreError`]; the round may have been applied in part, and the next one
+    /// continues from the stored rows.
     pub async fn round(&mut self, input: &RoundInput) -> Result<Vec<PoolEvent>, StoreError> {
         let result = self.try_round(input).await;
         let events = std::mem::take(&mut self.events);
@@ -208,8 +209,8 @@
         for (pool, rows) in pools.iter().zip(rows.chunks(ROWS_PER_POOL)) {
             let [lease, head, wave] = rows else { continue };
             let head = Head(head.as_ref().map(|row| row.revision));
-            // A row that this release can't parse fails the round: it must count neither as a free lease
-            // nor as the absence of a wave.
+            // A row that this release can't parse fails the round: it must count neither as a free
+            // lease nor as the absence of a wave.
             let wave: Option<WaveRow> = wave.as_ref().map(Row::parse).transpose()?;
             if self.reconcile_lease(input, own, pool, lease.as_ref()).await? {
                 self.reconcile_hosts(input, pool, head, wave.as_ref()).await?;
@@ -225,8 +226,8 @@
         self.hosts.iter().filter(|(_, tracked)| tracked.is_moving()).map(|(id, _)| id)
     }
 
-    /// Replaces the hosts by rows that were just read; observation times of hosts that stayed in the
-    /// pool are kept.
+    /// Replaces the hosts by rows that were just read; observation times of hosts that stayed in
+    /// the pool are kept.
     fn update_hosts(&mut self, hosts: Vec<Host>) {
         let mut previous = std::mem::take(&mut self.hosts);
         for host in hosts {
@@ -246,8 +247,8 @@
         self.host.row.phase != HostPhase::Serving || self.host.row.want.is_some()
     }
 
-    /// Records the current status of the host and returns its observation; a budget must be exceeded for
-    /// `confirm` before it is reported as overspent.
+    /// Records the current status of the host and returns its observation; a budget must be
+    /// exceeded for `confirm` before it is reported as overspent.
     fn observe(
         &mut self,
         status: Option<HostStatus>,
--- a/reachhead_pool/src/controller/steps.rs
+++ b/reachhead_pool/src/controller/steps.rs
@@ -42,8 +42,8 @@
         self.rows.iter().map(|budget| (budget.service.clone(), budget.row.clone())).collect()
     }
 
-    /// Records the revision at which the rows of `services` were written; `None` if the write failed its
-    /// precondition.
+    /// Records the revision at which the rows of `services` were written; `None` if the write
+    /// failed its precondition.
     fn record_write(&mut self, services: &BTreeSet<ServiceName>, written: Option<Revision>) {
         let Some(revision) = written else { return };
         for budget in self.rows.iter_mut().filter(|budget| services.contains(&budget.service)) {
@@ -222,8 +222,8 @@
         Ok(written.is_some())
     }
 
-    /// Writes the row of a host and `budgets` in one transaction and returns their revision; `None` if a
-    /// precondition failed.
+    /// Writes the row of a host and `budgets` in one transaction and returns their revision; `None`
+    /// if a precondition failed.
     async fn write_host(
         &mut self,
         pool: &PoolName,
@@ -305,8 +305,8 @@
         self.hosts.iter().filter(is_in_transition).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the hosts whose drain should start: moves first, then the hosts of a wave by priority,
-    /// and at equal priority those in racks that the wave has already started.
+    /// Returns the hosts whose drain should start: moves first, then the hosts of a wave by
+    /// priority, and at equal priority those in racks that the wave has already started.
     fn due(
         &self,
         wave: Option<&WaveRow>,
--- a/reachhead_pool/src/host.rs
+++ b/reachhead_pool/src/host.rs
@@ -1,8 +1,8 @@
-//! The state machine of a host in maintenance or between pools: drain, reboot or hand-over, return to
-//! service.
+//! The state machine of a host in maintenance or between pools: drain, reboot or hand-over, return
+//! to service.
 //!
-//! A step depends only on stored rows and on the status that the platform reports, so a new owner of
-//! the pool continues where the previous one stopped.
+//! A step depends only on stored rows and on the status that the platform reports, so a new owner
+//! of the pool continues where the previous one stopped.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
 pub enum HostStep {
     /// Take no action in this round.
     Wait,
-    /// Start to drain the host if every budget allows it: for the given wave, or for a move to another
-    /// pool.
+    /// Start to drain the host if every budget allows it: for the given wave, or for a move to
+    /// another pool.
     StartDrain(Option<WaveName>),
     /// Store a new row, which puts the host into another phase.
     UpdateRow(Box<HostRow>),
@@ -47,8 +47,8 @@
 
 /// Returns the next step of a host whose pool has `wave`.
 ///
-/// The host must be observed drained for `drain_time` before it counts as empty: entry hosts learn of
-/// the drain with a delay, and requests may still run on the host until then.
+/// The host must be observed drained for `drain_time` before it counts as empty: entry hosts learn
+/// of the drain with a delay, and requests may still run on the host until then.
 pub fn next_step(
     row: &HostRow,
     wave: Option<&WaveRow>,
@@ -60,7 +60,8 @@
     };
     let own_drain = status.own_drain().cloned();
     match row.phase {
-        // A drain of a host that serves was requested by a previous owner whose request arrived late.
+        // A drain of a host that serves was requested by a previous owner whose request arrived
+        // late.
         HostPhase::Serving => own_drain.map_or_else(|| start_step(row, wave), HostStep::Undrain),
         HostPhase::Draining if should_cancel_drain(row, wave, observed) => {
             update_row(HostRow { phase: HostPhase::Arriving, wave: None, ..row.clone() })
--- a/reachhead_pool/src/lease.rs
+++ b/reachhead_pool/src/lease.rs
@@ -1,10 +1,11 @@
 //! The lease of a pool: which entry host owns it.
 //!
-//! Each pool prefers one entry host by rendezvous hashing, which spreads pools without communication.
-//! A lease row makes ownership exclusive. An owner counts as failed if its row on the membership list,
-//! which it increments as a heartbeat, makes no progress for longer than the lease, measured by the
-//! clock of the observer; clocks are never compared. A wrong verdict is harmless, since every write of
-//! an owner has the revision of its lease as a precondition (a fencing token).
+//! Each pool prefers one entry host by rendezvous hashing, which spreads pools without
+//! communication. A lease row makes ownership exclusive. An owner counts as failed if its row on
+//! the membership list, which it increments as a heartbeat, makes no progress for longer than the
+//! lease, measured by the clock of the observer; clocks are never compared. A wrong verdict is
+//! harmless, since every write of an owner has the revision of its lease as a precondition (a
+//! fencing token).
 
 use std::hash::{Hash, Hasher};
 
@@ -49,11 +50,11 @@
     hasher.finish()
 }
 
-/// Returns the next step of the entry host `own` for the lease of `pool`; `lease` is `None` if there is
-/// no row yet.
+/// Returns the next step of the entry host `own` for the lease of `pool`; `lease` is `None` if
+/// there is no row yet.
 ///
-/// `is_overdue` is set if another owner, although it is alive, has not handed the pool over in time. It
-/// may not know that it holds the lease, if its write succeeded and the answer was lost.
+/// `is_overdue` is set if another owner, although it is alive, has not handed the pool over in
+/// time. It may not know that it holds the lease, if its write succeeded and the answer was lost.
 pub fn next_step(
     own: &MemberId,
     pool: &PoolName,
--- a/reachhead_pool/tests/moves/cluster.rs
+++ b/reachhead_pool/tests/moves/cluster.rs
@@ -181,7 +181,8 @@
         }
     }
 
-    /// Stops all faults, runs rounds, and returns whether everything has settled as operators wanted.
+    /// Stops all faults, runs rounds, and returns whether everything has settled as operators
+    /// wanted.
     pub fn settle(&mut self) -> bool {
         for number in 0..=255 {
             self.platform.deliver_delayed(number);
--- a/reachhead_pool/tests/moves/main.rs
+++ b/reachhead_pool/tests/moves/main.rs
@@ -1,5 +1,6 @@
-//! Random schedules of controllers that crash, pause, lose calls and hold false views of each other,
-//! with moves and waves in progress: each host is in one pool, and planned work exceeds no budget.
+//! Random schedules of controllers that crash, pause, lose calls and hold false views of each
+//! other, with moves and waves in progress: each host is in one pool, and planned work exceeds no
+//! budget.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -39,7 +40,8 @@
     format!("h{}", number % HOSTS).parse().unwrap()
 }
 
-/// Returns the placements of two services: one with a minion on each host, one with minions on two hosts.
+/// Returns the placements of two services: one with a minion on each host, one with minions on two
+/// hosts.
 fn placements() -> MinionPlacements {
     let mut rows = vec![
         ("group/top".to_owned(), json!({})),
--- a/reachhead_pool/tests/moves/platform.rs
+++ b/reachhead_pool/tests/moves/platform.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Reboots a host that is drained with `tag`, and records a violation if work was running on it or a
-    /// budget did not permit it.
+    /// Reboots a host that is drained with `tag`, and records a violation if work was running on it
+    /// or a budget did not permit it.
     fn reboot_host(&self, host: &HostId, tag: &DrainTag, boots: u64) {
         let budgets = self.budgets();
         let mut inner = self.inner.lock().unwrap();
@@ -195,8 +195,8 @@
         self.store.scan(scan).now_or_never().unwrap().unwrap().rows
     }
 
-    /// Records each budget that planned work alone exceeds, and each budget row that differs from the
-    /// rows of the hosts.
+    /// Records each budget that planned work alone exceeds, and each budget row that differs from
+    /// the rows of the hosts.
     fn check_budgets(&self) {
         let (placements, rows) = (placements(), self.host_rows());
         for (service, budget) in self.budgets() {
@@ -211,8 +211,8 @@
         }
     }
 
-    /// Records each host that changed its pool without being empty, or its epoch without changing its
-    /// pool, and an index that differs from the rows.
+    /// Records each host that changed its pool without being empty, or its epoch without changing
+    /// its pool, and an index that differs from the rows.
     fn check_hosts(&self, before: &BTreeMap<HostId, HostRow>, after: &BTreeMap<HostId, HostRow>) {
         let mut inner = self.inner.lock().unwrap();
         for (id, row) in after {
