--- a/reachhead_path/src/claim.rs
+++ b/reachhead_path/src/claim.rs
@@ -1,8 +1,8 @@
-//! The claims of this process on idempotency keys: what each attempt may still do.
+//! The attempts of this process to run requests with idempotency keys, and their states.
 //!
-//! An attempt is sent to a minion at most once, and only after [`ClaimTable::send`] said so in the
-//! same step. Once it is abandoned it is never sent, so "abandoned" can be promised to others.
-//! docs/AT-MOST-ONCE.md gives the whole argument.
+//! An attempt is sent to a minion at most once, and only after [`ClaimTable::send`] has permitted
+//! it in the same step. An abandoned attempt is never sent afterwards, so other entry hosts can
+//! rely on the state "abandoned". docs/AT-MOST-ONCE.md has the safety argument.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -16,34 +16,35 @@
     id::{AttemptId, Fingerprint},
 };
 
-/// What became of an attempt.
+/// The state of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It was not sent yet and may be.
+    /// The request was not sent yet and may still be sent.
     Pending,
-    /// It was sent to a minion and has no answer yet.
+    /// The request was sent to a minion, which has not answered yet.
     Sent,
-    /// It was never sent and never will be.
+    /// The request was never sent and never will be.
     Abandoned,
-    /// It ended with this answer.
+    /// The minion answered.
     Done(Rc<KeptAnswer>),
-    /// It ran, and its answer is too large to keep.
+    /// The minion answered, but the answer is too large to be kept.
     Unkept,
-    /// It was sent and its answer is lost.
+    /// The request was sent, and the outcome is unknown.
     Lost,
 }
 
-/// What a new request with a key meets in this process.
+/// The result of looking up an idempotency key in this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimLookup {
-    /// Nothing stands against a new attempt.
+    /// A new attempt may be started.
     New,
-    /// The key was used with another request.
+    /// The key was used with a different request.
     KeyReused,
-    /// An attempt for the same request, `Pending`, `Sent` or ended.
+    /// There is an attempt for the same request, `Pending`, `Sent` or ended.
     Existing(AttemptState),
 }
 
+/// The latest attempt for a key.
 #[derive(Debug, Clone)]
 struct Record {
     attempt: AttemptId,
@@ -51,13 +52,13 @@
     state: AttemptState,
 }
 
-/// The attempts of this process, by the store key of their claim.
+/// The attempts of this process by the store key of their claim.
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     by_key: HashMap<String, Record>,
     keys: HashMap<AttemptId, String>,
-    /// Attempts in the order of their start, for forgetting.
-    order: VecDeque<Started>,
+    /// Attempts in the order of their start, for eviction.
+    by_start: VecDeque<Started>,
 }
 
 #[derive(Debug)]
@@ -72,28 +73,29 @@
         Self::default()
     }
 
-    /// Returns the number of attempts that are remembered.
+    /// Returns the number of attempts in the table.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether no attempt is remembered.
+    /// Returns whether there are no attempts in the table.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Tells what a request with the claim `key` and the body `fingerprint` meets.
+    /// Looks up the claim `key` for a request with `fingerprint`.
     pub fn look_up(&self, key: &str, fingerprint: Fingerprint) -> ClaimLookup {
         match self.by_key.get(key) {
             None => ClaimLookup::New,
             Some(record) if record.fingerprint != fingerprint => ClaimLookup::KeyReused,
-            // Its row may still be in the store, where a takeover replaces it.
+            // The row of the abandoned attempt may still be in the store; the new attempt takes it
+            // over.
             Some(Record { state: AttemptState::Abandoned, .. }) => ClaimLookup::New,
             Some(record) => ClaimLookup::Existing(record.state.clone()),
         }
     }
 
-    /// Starts an attempt; only after [`ClaimLookup::New`].
+    /// Starts an attempt. Must only be called after a lookup returned [`ClaimLookup::New`].
     pub fn start(
         &mut self,
         key: &str,
@@ -104,10 +106,12 @@
         let record = Record { attempt, fingerprint, state: AttemptState::Pending };
         self.by_key.insert(key.to_owned(), record);
         self.keys.insert(attempt, key.to_owned());
-        self.order.push_back(Started { at: now, attempt });
+        self.by_start.push_back(Started { at: now, attempt });
     }
 
-    /// Marks the attempt as sent and tells whether it may be; to be asked right before sending.
+    /// Marks a pending attempt as sent and returns whether it may be sent.
+    ///
+    /// Must be called immediately before the request is sent.
     pub fn send(&mut self, attempt: AttemptId) -> bool {
         match self.state_mut(attempt) {
             Some(state @ AttemptState::Pending) => {
@@ -118,22 +122,23 @@
         }
     }
 
-    /// Notes that a sent attempt did not run after all, because the minion never got it or refused
-    /// it by contract; it may be sent again.
+    /// Marks a sent attempt as pending again, since the minion did not receive it, or refused it
+    /// with the guarantee that it did not run.
     pub fn mark_unsent(&mut self, attempt: AttemptId) {
         if let Some(state @ AttemptState::Sent) = self.state_mut(attempt) {
             *state = AttemptState::Pending;
         }
     }
 
-    /// Ends an attempt as `Done`, `Unkept` or `Lost` if it was sent; else nothing changes.
-    pub fn finish(&mut self, attempt: AttemptId, end: AttemptState) {
+    /// Sets the final state of a sent attempt: `Done`, `Unkept` or `Lost`. Attempts in other states
+    /// are not changed.
+    pub fn finish(&mut self, attempt: AttemptId, final_state: AttemptState) {
         if let Some(state @ AttemptState::Sent) = self.state_mut(attempt) {
-            *state = end;
+            *state = final_state;
         }
     }
 
-    /// Gives an attempt up if it was not sent, and tells whether it is abandoned now.
+    /// Abandons an attempt unless it was sent, and returns whether it is abandoned now.
     pub fn abandon(&mut self, attempt: AttemptId) -> bool {
         match self.state_mut(attempt) {
             Some(state @ (AttemptState::Pending | AttemptState::Abandoned)) => {
@@ -144,10 +149,11 @@
         }
     }
 
-    /// Returns the state of `attempt`; `None` if it is not known, which says nothing about it.
+    /// Returns the state of `attempt`; `None` if it is not in the table, from which nothing follows
+    /// about its outcome.
     pub fn state(&self, attempt: AttemptId) -> Option<&AttemptState> {
         let record = self.by_key.get(self.keys.get(&attempt)?)?;
-        // A later attempt of this process replaces an abandoned one under the same key.
+        // A new attempt replaces only an abandoned one under the same key.
         match record.attempt == attempt {
             true => Some(&record.state),
             false => Some(&AttemptState::Abandoned),
@@ -159,18 +165,18 @@
         (record.attempt == attempt).then_some(&mut record.state)
     }
 
-    /// Forgets the ended attempts that started longer than `keep` before `now`.
+    /// Removes the ended attempts that started at least `keep` before `now`.
     pub fn evict_ended(&mut self, keep: Duration, now: BootInstant) {
-        while let Some(first) = self.order.front() {
+        while let Some(first) = self.by_start.front() {
             if now.duration_since(first.at) < keep {
                 return;
             }
             let attempt = first.attempt;
-            self.order.pop_front();
+            self.by_start.pop_front();
             match self.state(attempt) {
-                // Still under way: looked at again later.
+                // Still in progress: checked again after another `keep`.
                 Some(AttemptState::Pending | AttemptState::Sent) => {
-                    self.order.push_back(Started { at: now, attempt });
+                    self.by_start.push_back(Started { at: now, attempt });
                 }
                 _ => self.remove(attempt),
             }
--- a/reachhead_path/src/fair.rs
+++ b/reachhead_path/src/fair.rs
@@ -1,8 +1,9 @@
 //! A weighted fair queue over groups, with priority classes inside each group.
 //!
-//! Start-time fair queueing: each group has a virtual time that grows by the slot time that it
-//! used, divided by its weight; the group that is furthest behind goes first. The cost is slot
-//! time and not a count, so a group of long requests can't take more than its share.
+//! It implements start-time fair queueing: each group has a virtual time that advances by the slot
+//! time that the group used, divided by its weight, and the group with the lowest virtual time is
+//! served next. The cost is slot time instead of a request count, so a group with long requests
+//! can't exceed its share.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,15 +12,15 @@
 
 use reachhead_types::{boot_instant::BootInstant, fleet::Class, id::GroupName, size::Weight};
 
-/// Cost of a group's request before any was measured.
-const FIRST_COST: Duration = Duration::from_millis(5);
+/// Assumed cost of the requests of a group that has no completed request yet.
+const INITIAL_COST: Duration = Duration::from_millis(5);
 
-/// Share of the newest cost in a group's mean.
+/// Weight of the latest cost in the moving average of a group.
 const COST_GAIN: f64 = 0.1;
 
-/// Something that waits in the queue.
+/// An item in the queue.
 pub trait QueueItem {
-    /// Tells whether anyone still waits for it.
+    /// Returns whether the caller still waits for the item.
     fn is_wanted(&self) -> bool;
 }
 
@@ -28,40 +29,40 @@
 pub enum QueueError {
     /// The group's queue is full.
     Full,
-    /// By its group's share the request would wait past its deadline.
+    /// With the share of its group, the request would wait beyond its deadline.
     Late,
 }
 
-/// What a request asks the queue for.
+/// The parameters of a request to the queue.
 #[derive(Debug, Clone)]
 pub struct QueueRequest {
-    /// The group on whose share it counts.
+    /// The group whose share it uses.
     pub group: GroupName,
     /// Its priority inside the group.
     pub class: Class,
-    /// When it is of no use any more.
+    /// When the request is no longer useful.
     pub deadline: BootInstant,
 }
 
-/// What [`FairQueue::pop`] took off the queue.
+/// The result of [`FairQueue::pop`].
 #[derive(Debug)]
 pub struct PopResult<T> {
-    /// The request whose turn it is, with what it was charged.
+    /// The request to run next.
     pub next: Option<Dequeued<T>>,
-    /// Requests that could not have met their deadline.
+    /// Requests that were removed because they would miss their deadline.
     pub late: Vec<T>,
 }
 
-/// A request whose turn it is.
+/// A request to run, with its charge.
 #[derive(Debug)]
 pub struct Dequeued<T> {
-    /// What waited.
+    /// The queued item.
     pub item: T,
-    /// What its group was charged, to be settled by [`FairQueue::settle`].
+    /// The charge to its group, to be corrected by [`FairQueue::settle`].
     pub charge: Charge,
 }
 
-/// What a group was charged for a request before its real cost is known.
+/// The estimated cost that a group was charged for a request.
 #[derive(Debug, Clone)]
 pub struct Charge {
     group: GroupName,
@@ -74,20 +75,21 @@
     deadline: BootInstant,
 }
 
+/// The queue of one group.
 #[derive(Debug)]
-struct Line<T> {
+struct GroupQueue<T> {
     weight: Weight,
     limit: usize,
-    /// Virtual time, in seconds of slot time for a weight of one.
-    time: f64,
+    /// Virtual time: seconds of slot time divided by the weight.
+    virtual_time: f64,
     mean_cost: Duration,
     classes: [VecDeque<Entry<T>>; Class::ALL.len()],
 }
 
-impl<T> Line<T> {
+impl<T> GroupQueue<T> {
     fn new(weight: Weight, limit: usize) -> Self {
         let classes = Class::ALL.map(|_| VecDeque::new());
-        Self { weight, limit, time: 0.0, mean_cost: FIRST_COST, classes }
+        Self { weight, limit, virtual_time: 0.0, mean_cost: INITIAL_COST, classes }
     }
 
     fn len(&self) -> usize {
@@ -98,7 +100,8 @@
         self.classes.iter().all(VecDeque::is_empty)
     }
 
-    fn step(&self, cost: Duration) -> f64 {
+    /// Returns by how much `cost` advances the virtual time of the group.
+    fn virtual_cost(&self, cost: Duration) -> f64 {
         cost.as_secs_f64() / f64::from(self.weight.0.max(1))
     }
 }
@@ -106,14 +109,16 @@
 /// The queue of one service at one entry host.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    lines: BTreeMap<GroupName, Line<T>>,
-    time: f64,
+    groups: BTreeMap<GroupName, GroupQueue<T>>,
+    /// Virtual time at which the latest request was charged; a group that becomes active starts
+    /// here or later.
+    virtual_time: f64,
     len: usize,
 }
 
 impl<T> Default for FairQueue<T> {
     fn default() -> Self {
-        Self { lines: BTreeMap::new(), time: 0.0, len: 0 }
+        Self { groups: BTreeMap::new(), virtual_time: 0.0, len: 0 }
     }
 }
 
@@ -123,125 +128,134 @@
         Self::default()
     }
 
-    /// Sets the weight of `group` and how many of its requests may wait.
+    /// Sets the weight of `group` and the maximum number of its queued requests.
     pub fn set_group(&mut self, group: &GroupName, weight: Weight, limit: usize) {
-        let line = self.lines.entry(group.clone()).or_insert_with(|| Line::new(weight, limit));
-        line.weight = weight;
-        line.limit = limit;
+        let queue =
+            self.groups.entry(group.clone()).or_insert_with(|| GroupQueue::new(weight, limit));
+        queue.weight = weight;
+        queue.limit = limit;
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no requests are queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Returns the number of requests of `group` that wait.
+    /// Returns the number of queued requests of `group`.
     pub fn group_len(&self, group: &GroupName) -> usize {
-        self.lines.get(group).map_or(0, Line::len)
+        self.groups.get(group).map_or(0, GroupQueue::len)
     }
 
-    /// Returns how long the next request of `group` would wait, by its share of `slots`.
+    /// Returns the expected wait of the next request of `group` and `class`, given the share of the
+    /// group of `slots`.
     pub fn expected_wait(&self, group: &GroupName, class: Class, slots: u32) -> Duration {
-        let Some(line) = self.lines.get(group) else {
+        let Some(queue) = self.groups.get(group) else {
             return Duration::ZERO;
         };
-        let busy = self.lines.iter().filter(|(name, line)| *name == group || !line.is_empty());
-        let weights: f64 = busy.map(|(_, line)| f64::from(line.weight.0)).sum();
-        let share = f64::from(line.weight.0) / weights.max(1.0) * f64::from(slots.max(1));
-        let ahead: usize = line.classes[..=class as usize].iter().map(VecDeque::len).sum();
-        line.mean_cost.mul_f64(ahead as f64 / share.max(f64::MIN_POSITIVE))
+        let busy = self.groups.iter().filter(|(name, queue)| *name == group || !queue.is_empty());
+        let weights: f64 = busy.map(|(_, queue)| f64::from(queue.weight.0)).sum();
+        let share = f64::from(queue.weight.0) / weights.max(1.0) * f64::from(slots.max(1));
+        let ahead: usize = queue.classes[..=class as usize].iter().map(VecDeque::len).sum();
+        queue.mean_cost.mul_f64(ahead as f64 / share.max(f64::MIN_POSITIVE))
     }
 
-    /// Puts `item` at the end of its group's and class's line.
+    /// Appends `item` to the queue of its group and class.
     ///
     /// # Errors
     ///
-    /// Fails if the line is full, or if the wait by the group's share of `slots` is too long; the
-    /// request was then not queued.
+    /// Returns an error, and does not queue the request, if the queue of the group is full or if
+    /// the expected wait exceeds the deadline.
     pub fn push(
         &mut self,
-        ask: &QueueRequest,
+        request: &QueueRequest,
         item: T,
         slots: u32,
         now: BootInstant,
     ) -> Result<(), QueueError> {
-        if now + self.expected_wait(&ask.group, ask.class, slots) > ask.deadline {
+        if now + self.expected_wait(&request.group, request.class, slots) > request.deadline {
             return Err(QueueError::Late);
         }
-        let time = self.time;
-        let line =
-            self.lines.entry(ask.group.clone()).or_insert_with(|| Line::new(Weight(1), usize::MAX));
-        if line.len() >= line.limit {
+        let virtual_time = self.virtual_time;
+        let queue = self
+            .groups
+            .entry(request.group.clone())
+            .or_insert_with(|| GroupQueue::new(Weight(1), usize::MAX));
+        if queue.len() >= queue.limit {
             return Err(QueueError::Full);
         }
-        if line.is_empty() {
-            // A group that was idle does not save its share up.
-            line.time = line.time.max(time);
+        if queue.is_empty() {
+            // An idle group does not accumulate credit.
+            queue.virtual_time = queue.virtual_time.max(virtual_time);
         }
-        line.classes[ask.class as usize].push_back(Entry { item, deadline: ask.deadline });
+        queue.classes[request.class as usize].push_back(Entry { item, deadline: request.deadline });
         self.len += 1;
         Ok(())
     }
 
-    /// Charges a request of `group` that runs without waiting.
+    /// Charges `group` for a request that runs without being queued.
     pub fn charge(&mut self, group: &GroupName) -> Charge {
-        let time = self.time;
-        let line =
-            self.lines.entry(group.clone()).or_insert_with(|| Line::new(Weight(1), usize::MAX));
-        if line.is_empty() {
-            line.time = line.time.max(time);
+        let virtual_time = self.virtual_time;
+        let queue = self
+            .groups
+            .entry(group.clone())
+            .or_insert_with(|| GroupQueue::new(Weight(1), usize::MAX));
+        if queue.is_empty() {
+            queue.virtual_time = queue.virtual_time.max(virtual_time);
         }
-        self.time = time.max(line.time);
-        let cost = line.mean_cost;
-        line.time += line.step(cost);
+        self.virtual_time = virtual_time.max(queue.virtual_time);
+        let cost = queue.mean_cost;
+        queue.virtual_time += queue.virtual_cost(cost);
         Charge { group: group.clone(), cost }
     }
 
-    /// Takes the request whose turn it is, and every one met on the way that would be late.
+    /// Removes the next request to run, and all requests before it that would miss their deadline.
+    ///
+    /// Requests that no caller waits for are dropped.
     pub fn pop(&mut self, now: BootInstant) -> PopResult<T> {
         let mut late = Vec::new();
         while let Some((group, entry)) = self.pop_entry() {
             if !entry.item.is_wanted() {
                 continue;
             }
-            let cost = self.lines.get(&group).map_or(FIRST_COST, |line| line.mean_cost);
+            let cost = self.groups.get(&group).map_or(INITIAL_COST, |queue| queue.mean_cost);
             if now + cost > entry.deadline {
                 late.push(entry.item);
                 continue;
             }
-            let charge = self.charge_turn(group, cost);
+            let charge = self.charge_queued(group, cost);
             return PopResult { next: Some(Dequeued { item: entry.item, charge }), late };
         }
         PopResult { next: None, late }
     }
 
     fn pop_entry(&mut self) -> Option<(GroupName, Entry<T>)> {
-        let waiting = self.lines.iter_mut().filter(|(_, line)| !line.is_empty());
-        let (group, line) = waiting.min_by(|a, b| a.1.time.total_cmp(&b.1.time))?;
-        let entry = line.classes.iter_mut().find_map(VecDeque::pop_front)?;
+        let waiting = self.groups.iter_mut().filter(|(_, queue)| !queue.is_empty());
+        let (group, queue) =
+            waiting.min_by(|a, b| a.1.virtual_time.total_cmp(&b.1.virtual_time))?;
+        let entry = queue.classes.iter_mut().find_map(VecDeque::pop_front)?;
         self.len -= 1;
         Some((group.clone(), entry))
     }
 
-    fn charge_turn(&mut self, group: GroupName, cost: Duration) -> Charge {
-        if let Some(line) = self.lines.get_mut(&group) {
-            self.time = self.time.max(line.time);
-            line.time += line.step(cost);
+    fn charge_queued(&mut self, group: GroupName, cost: Duration) -> Charge {
+        if let Some(queue) = self.groups.get_mut(&group) {
+            self.virtual_time = self.virtual_time.max(queue.virtual_time);
+            queue.virtual_time += queue.virtual_cost(cost);
         }
         Charge { group, cost }
     }
 
-    /// Replaces a charge by the slot time that the request really took.
+    /// Replaces an estimated charge by the slot time that the request used.
     pub fn settle(&mut self, charge: &Charge, took: Duration) {
-        let Some(line) = self.lines.get_mut(&charge.group) else {
+        let Some(queue) = self.groups.get_mut(&charge.group) else {
             return;
         };
-        line.time += line.step(took) - line.step(charge.cost);
-        line.mean_cost = line.mean_cost.mul_f64(1.0 - COST_GAIN) + took.mul_f64(COST_GAIN);
+        queue.virtual_time += queue.virtual_cost(took) - queue.virtual_cost(charge.cost);
+        queue.mean_cost = queue.mean_cost.mul_f64(1.0 - COST_GAIN) + took.mul_f64(COST_GAIN);
     }
 }
--- a/reachhead_path/src/lib.rs
+++ b/reachhead_path/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decision logic of the request path: shares, queues, choices, retries, claims.
+//! Decision logic of the request path: slot shares, queues, load balancing, retries and idempotency
+//! claims.
 //!
-//! Everything here is a plain function or struct over explicit state and time. Nothing reads a
-//! clock, a socket or the store, so each part is tested against a naive version of itself.
+//! All modules are pure functions and structs over explicit state and time. Nothing reads a clock,
+//! a socket or the store, so each module is tested against a naive implementation.
 
 pub mod claim;
 pub mod eject;
--- a/reachhead_path/src/loan.rs
+++ b/reachhead_path/src/loan.rs
@@ -1,16 +1,18 @@
-//! Short loans of slots between entry hosts, for when the balancer gives one host more than others.
+//! Short loans of slots between entry hosts, for when the load balancer in front sends one host
+//! more requests than others.
 //!
-//! A loan has a term that both sides count on their own clocks: the borrower from before it asked,
-//! the lender from when it answered, so the borrower stops first. Requests may still run then, so
-//! the lender waits for the return, or for a grace after which none can be left. docs/LIMITS.md has
-//! the argument together with that of the shares.
+//! Both sides measure the duration of a loan by their own clocks: the borrower from before it sent
+//! the request, the lender from when it answered, so the borrower stops first. Requests may still
+//! run on borrowed slots at that time, so the lender waits until the loan is returned, or for a
+//! grace period after which no request can be left. docs/LIMITS.md has the safety argument,
+//! together with that of the slot shares.
 
 use std::time::Duration;
 
 use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 
-/// For how long a borrower may start requests on borrowed slots; shorter than any time to notice a
-/// new list of entry hosts.
+/// How long a borrower may start requests on borrowed slots. It is shorter than the time within
+/// which any host notices a new membership list.
 pub const LOAN_DURATION: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone)]
@@ -20,7 +22,7 @@
     until: BootInstant,
 }
 
-/// The loans of one minion's slots that one entry host has given and taken.
+/// The slots of one minion that an entry host has lent and borrowed.
 #[derive(Debug, Clone, Default)]
 pub struct LoanTable {
     lent: Vec<Loan>,
@@ -33,20 +35,20 @@
         Self::default()
     }
 
-    /// Tells whether there is no loan, which is the usual case.
+    /// Returns whether there are no loans, which is the usual case.
     pub fn is_empty(&self) -> bool {
         self.lent.is_empty() && self.borrowed.is_empty()
     }
 
-    /// Returns how many requests may run with `share` slots of this host's own.
+    /// Returns how many requests this host may run, given its own `share` of slots.
     pub fn limit(&self, share: u32, now: BootInstant) -> u32 {
-        share.saturating_sub(running(&self.lent, now)) + running(&self.borrowed, now)
+        share.saturating_sub(active_slots(&self.lent, now)) + active_slots(&self.borrowed, now)
     }
 
-    /// Lends up to `want` of the free ones of `share` slots and returns how many.
+    /// Lends up to `want` free slots of `share` and returns how many.
     ///
-    /// Half of what is free stays here, and borrowed slots are not lent on. They come back when the
-    /// borrower returns them, or after the term and `grace`.
+    /// Half of the free slots are kept, and borrowed slots are not lent to others. A loan ends when
+    /// the borrower returns it, or after [`LOAN_DURATION`] plus `grace`.
     pub fn lend(
         &mut self,
         id: LoanId,
@@ -56,7 +58,7 @@
         now: BootInstant,
     ) -> u32 {
         self.expire(now);
-        let own = share.slots.saturating_sub(running(&self.lent, now));
+        let own = share.slots.saturating_sub(active_slots(&self.lent, now));
         let free = own.saturating_sub(share.running);
         let slots = want.min(free / 2);
         if slots > 0 {
@@ -65,13 +67,13 @@
         slots
     }
 
-    /// Notes slots that were borrowed by a question asked at `asked`.
-    pub fn borrow(&mut self, id: LoanId, slots: u32, asked: BootInstant, now: BootInstant) {
+    /// Records slots that were borrowed by a request sent at `requested`.
+    pub fn borrow(&mut self, id: LoanId, slots: u32, requested: BootInstant, now: BootInstant) {
         self.expire(now);
-        self.borrowed.push(Loan { id, slots, until: asked + LOAN_DURATION });
+        self.borrowed.push(Loan { id, slots, until: requested + LOAN_DURATION });
     }
 
-    /// Takes back what was lent as `id`.
+    /// Ends the loan `id` that this host gave, since the borrower returned it.
     pub fn end_loan(&mut self, id: LoanId) {
         self.lent.retain(|loan| loan.id != id);
     }
@@ -82,15 +84,16 @@
     }
 }
 
-/// What a lender has of a minion.
+/// The slots of a minion that a lender has and uses.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotUsage {
-    /// Its own slots.
+    /// Slots of its own share.
     pub slots: u32,
-    /// Requests that run there for it.
+    /// Requests of this host that run on the minion.
     pub running: u32,
 }
 
-fn running(loans: &[Loan], now: BootInstant) -> u32 {
+/// Returns the number of slots of the loans that have not expired.
+fn active_slots(loans: &[Loan], now: BootInstant) -> u32 {
     loans.iter().filter(|loan| loan.until > now).map(|loan| loan.slots).sum()
 }
--- a/reachhead_path/src/pick.rs
+++ b/reachhead_path/src/pick.rs
@@ -1,19 +1,20 @@
-//! Chooses the minion for a request: own zone first, then the less loaded of two at random.
+//! Load balancing: prefers minions in the own zone, then takes the less loaded of two random ones
+//! (power of two choices).
 
 use rand::Rng;
 
-/// A minion as the choice sees it.
+/// A minion that may be chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Requests that run there for this entry host.
+    /// Requests of this entry host that run on the minion.
     pub running: u32,
-    /// Requests that this entry host may run there.
+    /// Requests that this entry host may run on the minion at once.
     pub limit: u32,
     /// Whether it is in this entry host's availability zone.
     pub is_local: bool,
-    /// Whether it may get new requests: in force, not leaving, not ejected.
+    /// Whether it accepts new requests: it is configured, not leaving and not ejected.
     pub is_open: bool,
-    /// Whether this request was tried there before.
+    /// Whether the request has already been sent to it.
     pub was_tried: bool,
 }
 
@@ -22,12 +23,12 @@
         self.is_open && self.running < self.limit
     }
 
-    /// Returns the order of preference, the least first.
+    /// Returns the rank of the minion; the lowest is preferred.
     fn rank(&self) -> u8 {
         u8::from(self.was_tried) * 2 + u8::from(!self.is_local)
     }
 
-    /// Tells whether this one has the larger part of its limit left.
+    /// Returns whether this minion uses a smaller fraction of its limit than `other`.
     fn is_less_loaded(&self, other: &Self) -> bool {
         u64::from(self.running) * u64::from(other.limit)
             < u64::from(other.running) * u64::from(self.limit)
@@ -36,8 +37,9 @@
 
 /// Returns the index of the minion for a request, or `None` if none is free.
 ///
-/// A minion where the request was tried before comes last, the own zone first. The candidates are
-/// walked twice and never collected: this runs for each request.
+/// Minions in the own zone are preferred, and minions to which the request was already sent come
+/// last. The candidates are iterated twice instead of being collected, since this runs for each
+/// request.
 pub fn choose(
     candidates: impl Iterator<Item = Candidate> + Clone,
     rng: &mut impl Rng,
@@ -47,7 +49,7 @@
     let mut pair: [Option<Indexed>; 2] = [None, None];
     let best = free.filter(|(_, candidate)| candidate.rank() == best);
     for (count, (index, candidate)) in best.enumerate() {
-        // Reservoir sampling: each pair of the best is equally likely.
+        // Reservoir sampling: each pair of the best candidates is equally likely.
         let place = if count < 2 { count } else { rng.random_range(0..=count) };
         if let Some(place) = pair.get_mut(place) {
             *place = Some(Indexed { index, candidate });
--- a/reachhead_path/src/retry.rs
+++ b/reachhead_path/src/retry.rs
@@ -1,13 +1,13 @@
-//! A retry budget per service: retries are a share of the successes, so that they never multiply
-//! an overload.
+//! A retry budget per service: retries are limited to a fraction of the successes, so that they
+//! don't amplify an overload.
 
-/// Retries earned by one success.
+/// Retries that one success permits.
 pub const RETRIES_PER_SUCCESS: f64 = 0.1;
 
-/// Retries that a quiet service may make at once.
+/// Maximum number of saved retries, which is the burst that a service may make.
 pub const MAX_RETRY_TOKENS: f64 = 10.0;
 
-/// What one service may still retry.
+/// A token bucket of the retries that a service may make.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     tokens: f64,
@@ -25,12 +25,12 @@
         Self::default()
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn record_success(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_SUCCESS).min(MAX_RETRY_TOKENS);
     }
 
-    /// Takes one retry, or tells that there is none left.
+    /// Takes one retry from the budget and returns whether there was one.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/reachhead_path/tests/choice.rs
+++ b/reachhead_path/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing a minion, ejection, retry budget.
+//! Load balancing, outlier ejection and the retry budget.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -15,9 +15,9 @@
 use reachhead_types::boot_instant::BootInstant;
 
 #[derive(Debug, Clone)]
-struct Any(Candidate);
+struct AnyCandidate(Candidate);
 
-impl Arbitrary for Any {
+impl Arbitrary for AnyCandidate {
     fn arbitrary(g: &mut Gen) -> Self {
         Self(Candidate {
             running: u32::arbitrary(g) % 4,
@@ -29,14 +29,14 @@
     }
 }
 
-/// The naive version: the best rank among the free ones.
+/// The naive implementation: the best rank among the minions with free slots.
 fn best_rank(candidates: &[Candidate]) -> Option<(bool, bool)> {
     let free = candidates.iter().filter(|c| c.is_open && c.running < c.limit);
     free.map(|c| (c.was_tried, !c.is_local)).min()
 }
 
 properties! {
-    fn the_choice_is_free_and_of_the_best_rank(candidates: Vec<Any>, seed: u64) -> bool {
+    fn the_choice_is_free_and_of_the_best_rank(candidates: Vec<AnyCandidate>, seed: u64) -> bool {
         let candidates: Vec<Candidate> = candidates.into_iter().map(|any| any.0).collect();
         let mut rng = SmallRng::seed_from_u64(seed);
         match choose(candidates.iter().copied(), &mut rng) {
@@ -67,21 +67,21 @@
 }
 
 #[test]
-fn an_ejected_minion_comes_back_and_is_ejected_longer_each_time() {
+fn consecutive_ejections_double_in_duration_until_a_success() {
     let mut now = BootInstant::now();
     let mut ejection = Ejection::new();
     for _ in 1..FAILURE_LIMIT {
         assert_eq!(ejection.record_failure(now), EjectionChange::Unchanged);
     }
     assert_eq!(ejection.record_failure(now), EjectionChange::Ejected);
-    let mut term = MIN_EJECTION_TIME;
+    let mut duration = MIN_EJECTION_TIME;
     for _ in 0..10 {
-        assert!(ejection.is_ejected(now + term - Duration::from_millis(1)));
-        now += term;
+        assert!(ejection.is_ejected(now + duration - Duration::from_millis(1)));
+        now += duration;
         assert!(!ejection.is_ejected(now));
-        // On probation one failure is enough.
+        // On probation, a single failure ejects the minion again.
         assert_eq!(ejection.record_failure(now), EjectionChange::Ejected);
-        term = (term * 2).min(MAX_EJECTION_TIME);
+        duration = (duration * 2).min(MAX_EJECTION_TIME);
     }
     assert_eq!(ejection.record_success(), EjectionChange::Restored);
     assert_eq!(ejection.record_failure(now), EjectionChange::Unchanged);
--- a/reachhead_path/tests/claim.rs
+++ b/reachhead_path/tests/claim.rs
@@ -1,7 +1,8 @@
-//! Claims: random interleavings of hosts, a store that loses answers, kills and pauses.
+//! Random schedules of entry hosts with idempotency claims, lost answers of the store, crashes and
+//! pauses.
 //!
-//! The model is the protocol of docs/AT-MOST-ONCE.md with one step at a time; whatever the order,
-//! a key runs at most once, and "not-run" is only said of what never runs under that attempt.
+//! The model executes the protocol of docs/AT-MOST-ONCE.md one step at a time. In every schedule a
+//! key runs at most once, and "not-run" is reported only for attempts that never run.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -15,20 +16,21 @@
 };
 
 const KEY: &str = "claim/alpha/red/k";
-const PRINT: Fingerprint = Fingerprint(7);
+const FINGERPRINT: Fingerprint = Fingerprint(7);
 
-/// One host's part in the model.
+/// An entry host in the model.
 #[derive(Default)]
-struct Host {
+struct EntryHost {
     table: ClaimTable,
     incarnation: u32,
-    /// The attempt under way, and whether its claim is known to be stored.
+    /// The attempt in progress, and whether its claim is known to be stored.
     active: Option<(AttemptId, bool)>,
     is_paused: bool,
 }
 
+/// A stored claim.
 #[derive(Clone, Copy)]
-struct Row {
+struct ClaimRow {
     attempt: AttemptId,
     host: usize,
     incarnation: u32,
@@ -36,18 +38,18 @@
 
 #[derive(Default)]
 struct Model {
-    hosts: Vec<Host>,
-    row: Option<Row>,
-    /// A claim whose call was given up by its host but may still reach the store.
-    delayed: Option<Row>,
+    hosts: Vec<EntryHost>,
+    row: Option<ClaimRow>,
+    /// A claim whose host has given up the call, and which may still reach the store.
+    delayed: Option<ClaimRow>,
     next: u128,
     runs: Vec<AttemptId>,
-    told_not_run: Vec<AttemptId>,
+    reported_not_run: Vec<AttemptId>,
 }
 
 impl Model {
     fn new() -> Self {
-        Self { hosts: (0..3).map(|_| Host::default()).collect(), ..Self::default() }
+        Self { hosts: (0..3).map(|_| EntryHost::default()).collect(), ..Self::default() }
     }
 
     fn step(&mut self, host: usize, action: u8) {
@@ -59,33 +61,36 @@
             2 => self.claim(host, false),
             3 => self.claim(host, true),
             4 => self.dispatch(host),
-            5 => self.kill(host),
+            5 => self.restart(host),
             6 => self.hosts[host].is_paused = !self.hosts[host].is_paused,
-            _ => self.land(),
+            _ => self.apply_delayed(),
         }
     }
 
     fn request(&mut self, host: usize, action: u8) {
-        let part = &mut self.hosts[host];
-        if part.active.is_some() || part.table.look_up(KEY, PRINT) != ClaimLookup::New {
+        let entry_host = &mut self.hosts[host];
+        if entry_host.active.is_some()
+            || entry_host.table.look_up(KEY, FINGERPRINT) != ClaimLookup::New
+        {
             return;
         }
         self.next += 1;
         let attempt = AttemptId(self.next);
-        part.table.start(KEY, PRINT, attempt, BootInstant::now());
-        part.active = Some((attempt, false));
+        entry_host.table.start(KEY, FINGERPRINT, attempt, BootInstant::now());
+        entry_host.active = Some((attempt, false));
         if action % 8 == 1 {
             self.claim(host, false);
         }
     }
 
-    /// The store takes the claim, or not; `is_lost` loses its answer and the read after it.
-    fn claim(&mut self, host: usize, is_lost: bool) {
+    /// Writes the claim if the key is free or its attempt is abandoned. If `is_answer_lost`, the
+    /// host gets no answer, can't read the claim back and gives up.
+    fn claim(&mut self, host: usize, is_answer_lost: bool) {
         let Some((attempt, false)) = self.hosts[host].active else {
             return;
         };
-        let row = Row { attempt, host, incarnation: self.hosts[host].incarnation };
-        if is_lost {
+        let row = ClaimRow { attempt, host, incarnation: self.hosts[host].incarnation };
+        if is_answer_lost {
             self.delayed = Some(row);
             self.give_up(host, attempt);
             return;
@@ -97,13 +102,14 @@
         }
     }
 
-    fn store(&mut self, row: Row) {
+    fn store(&mut self, row: ClaimRow) {
         self.row = Some(row);
         self.hosts[row.host].active = Some((row.attempt, true));
     }
 
-    /// Asks the owner of `held`, as another host does; only its own incarnation can tell.
-    fn is_abandoned(&self, held: Row) -> bool {
+    /// Returns whether the owner of `held` reports it as abandoned; only the incarnation that wrote
+    /// the claim can know.
+    fn is_abandoned(&self, held: ClaimRow) -> bool {
         let owner = &self.hosts[held.host];
         owner.incarnation == held.incarnation
             && !owner.is_paused
@@ -111,32 +117,32 @@
     }
 
     fn give_up(&mut self, host: usize, attempt: AttemptId) {
-        let part = &mut self.hosts[host];
-        part.active = None;
-        if part.table.abandon(attempt) {
-            self.told_not_run.push(attempt);
+        let entry_host = &mut self.hosts[host];
+        entry_host.active = None;
+        if entry_host.table.abandon(attempt) {
+            self.reported_not_run.push(attempt);
         }
     }
 
     fn dispatch(&mut self, host: usize) {
-        let part = &mut self.hosts[host];
-        let Some((attempt, true)) = part.active else {
+        let entry_host = &mut self.hosts[host];
+        let Some((attempt, true)) = entry_host.active else {
             return;
         };
-        part.active = None;
-        if part.table.send(attempt) {
+        entry_host.active = None;
+        if entry_host.table.send(attempt) {
             self.runs.push(attempt);
-            part.table.finish(attempt, AttemptState::Lost);
+            entry_host.table.finish(attempt, AttemptState::Lost);
         }
     }
 
-    fn kill(&mut self, host: usize) {
+    fn restart(&mut self, host: usize) {
         let incarnation = self.hosts[host].incarnation + 1;
-        self.hosts[host] = Host { incarnation, ..Host::default() };
+        self.hosts[host] = EntryHost { incarnation, ..EntryHost::default() };
     }
 
-    /// A delayed claim reaches the store, if the place is free.
-    fn land(&mut self) {
+    /// Writes the delayed claim if the key is free.
+    fn apply_delayed(&mut self) {
         if let (Some(row), None) = (self.delayed.take(), self.row) {
             self.row = Some(row);
         }
@@ -150,10 +156,10 @@
             model.step(usize::from(host) % 3, action);
         }
         model.runs.len() <= 1
-            && model.told_not_run.iter().all(|attempt| !model.runs.contains(attempt))
+            && model.reported_not_run.iter().all(|attempt| !model.runs.contains(attempt))
     }
 
-    /// Long random walks, since short ones rarely get past the first claim.
+    /// Long random schedules, since short ones rarely get beyond the first claim.
     fn a_key_runs_at_most_once_in_long_walks(seed: u64) -> bool {
         let mut model = Model::new();
         let mut state = seed | 1;
@@ -162,7 +168,7 @@
             model.step((state >> 33) as usize % 3, (state >> 40) as u8);
         }
         model.runs.len() <= 1
-            && model.told_not_run.iter().all(|attempt| !model.runs.contains(attempt))
+            && model.reported_not_run.iter().all(|attempt| !model.runs.contains(attempt))
     }
 }
 
@@ -171,11 +177,11 @@
     let now = BootInstant::now();
     let mut table = ClaimTable::new();
     let (first, second) = (AttemptId(1), AttemptId(2));
-    table.start(KEY, PRINT, first, now);
+    table.start(KEY, FINGERPRINT, first, now);
     assert!(table.abandon(first));
     assert!(!table.send(first));
-    assert_eq!(table.look_up(KEY, PRINT), ClaimLookup::New);
-    table.start(KEY, PRINT, second, now);
+    assert_eq!(table.look_up(KEY, FINGERPRINT), ClaimLookup::New);
+    table.start(KEY, FINGERPRINT, second, now);
     assert_eq!(table.state(first), Some(&AttemptState::Abandoned));
     assert!(table.send(second));
     assert!(!table.send(second));
@@ -188,8 +194,8 @@
     let now = BootInstant::now();
     let keep = Duration::from_secs(10);
     let mut table = ClaimTable::new();
-    table.start("a", PRINT, AttemptId(1), now);
-    table.start("b", PRINT, AttemptId(2), now);
+    table.start("a", FINGERPRINT, AttemptId(1), now);
+    table.start("b", FINGERPRINT, AttemptId(2), now);
     assert!(table.send(AttemptId(2)));
     table.finish(AttemptId(2), AttemptState::Lost);
     table.evict_ended(keep, now + keep);
--- a/reachhead_path/tests/fair.rs
+++ b/reachhead_path/tests/fair.rs
@@ -1,4 +1,4 @@
-//! The fair queue against a naive one, and the shares that it gives.
+//! The fair queue, compared with a naive implementation, and the shares that it gives.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -25,21 +25,21 @@
     format!("g{number}").parse().unwrap()
 }
 
-fn ask(number: u8, class: usize, deadline: BootInstant) -> QueueRequest {
+fn request(number: u8, class: usize, deadline: BootInstant) -> QueueRequest {
     QueueRequest { group: group(number), class: Class::ALL[class % 3], deadline }
 }
 
 const COST: Duration = Duration::from_millis(5);
 
-/// The naive version: all entries in one list, searched whole for each turn.
+/// The naive implementation: all entries in one list, which is searched for each request.
 #[derive(Default)]
-struct Naive {
+struct NaiveQueue {
     entries: Vec<(GroupName, Class, usize)>,
     times: BTreeMap<GroupName, f64>,
     time: f64,
 }
 
-impl Naive {
+impl NaiveQueue {
     fn push(&mut self, group: GroupName, class: Class, number: usize) {
         if !self.entries.iter().any(|entry| entry.0 == group) {
             let time = self.times.entry(group.clone()).or_default();
@@ -67,12 +67,12 @@
         let now = BootInstant::now();
         let deadline = now + Duration::from_secs(3600);
         let mut queue = FairQueue::new();
-        let mut naive = Naive::default();
+        let mut naive = NaiveQueue::default();
         steps.into_iter().enumerate().all(|(number, step)| match step {
             Some((owner, class)) => {
-                let ask = ask(owner % 4, class as usize, deadline);
-                naive.push(ask.group.clone(), ask.class, number);
-                queue.push(&ask, Item { number, is_wanted: true }, 1, now) == Ok(())
+                let request = request(owner % 4, class as usize, deadline);
+                naive.push(request.group.clone(), request.class, number);
+                queue.push(&request, Item { number, is_wanted: true }, 1, now) == Ok(())
             }
             None => queue.pop(now).next.map(|turn| turn.item.number) == naive.pop(),
         })
@@ -88,7 +88,7 @@
             match step {
                 Some((owner, class, is_wanted)) => {
                     let item = Item { number, is_wanted };
-                    queue.push(&ask(owner, class as usize, deadline), item, 1, now).unwrap();
+                    queue.push(&request(owner, class as usize, deadline), item, 1, now).unwrap();
                     if is_wanted {
                         expected.push(number);
                     }
@@ -103,8 +103,8 @@
         popped == expected && queue.is_empty()
     }
 
-    /// While all groups have requests waiting, slot time is shared by weight, whatever a request
-    /// of each group costs.
+    /// While all groups have queued requests, slot time is shared by weight, independent of the
+    /// cost of the requests of each group.
     fn slot_time_is_shared_by_weight(weights: (u8, u8, u8), costs: (u8, u8, u8)) -> TestResult {
         let weights = [weights.0, weights.1, weights.2].map(|weight| u32::from(weight % 4) + 1);
         let costs = [costs.0, costs.1, costs.2].map(|cost| u64::from(cost % 50) + 1);
@@ -119,7 +119,7 @@
             for owner in 0..3 {
                 while queue.group_len(&group(owner)) < 2 {
                     let item = Item { number: owner as usize, is_wanted: true };
-                    queue.push(&ask(owner, 1, deadline), item, 1, now).unwrap();
+                    queue.push(&request(owner, 1, deadline), item, 1, now).unwrap();
                 }
             }
             let next = queue.pop(now).next.unwrap();
@@ -132,21 +132,21 @@
         let total: u64 = served.iter().sum();
         let weight: u32 = weights.iter().sum();
         let is_fair = (0..3).all(|owner| {
-            let due = total as f64 * f64::from(weights[owner]) / f64::from(weight);
-            (served[owner] as f64 - due).abs() <= due * 0.05 + 100.0
+            let expected = total as f64 * f64::from(weights[owner]) / f64::from(weight);
+            (served[owner] as f64 - expected).abs() <= expected * 0.05 + 100.0
         });
         TestResult::from_bool(is_fair)
     }
 }
 
 #[test]
-fn urgent_requests_of_a_group_go_first_and_never_before_another_groups_turn() {
+fn urgent_requests_go_first_only_within_their_group() {
     let now = BootInstant::now();
     let deadline = now + Duration::from_secs(10);
     let mut queue = FairQueue::new();
     for (number, (owner, class)) in [(0, 2), (0, 0), (1, 2), (0, 0)].into_iter().enumerate() {
         let item = Item { number, is_wanted: true };
-        queue.push(&ask(owner, class, deadline), item, 1, now).unwrap();
+        queue.push(&request(owner, class, deadline), item, 1, now).unwrap();
     }
     let order: Vec<usize> =
         std::iter::from_fn(|| queue.pop(now).next.map(|turn| turn.item.number)).collect();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_group_that_was_idle_does_not_save_its_share_up() {
+fn an_idle_group_accumulates_no_credit() {
     let now = BootInstant::now();
     let deadline = now + Duration::from_secs(3600);
     let mut queue: FairQueue<Item> = FairQueue::new();
@@ -164,27 +164,27 @@
     }
     for number in 0..40 {
         let item = Item { number, is_wanted: true };
-        queue.push(&ask((number % 2) as u8, 1, deadline), item, 1, now).unwrap();
+        queue.push(&request((number % 2) as u8, 1, deadline), item, 1, now).unwrap();
     }
     let first: Vec<usize> = (0..20).map(|_| queue.pop(now).next.unwrap().item.number).collect();
-    let newcomer = first.iter().filter(|number| *number % 2 == 1).count();
-    assert!((9..=12).contains(&newcomer), "the newcomer got {newcomer} of 20 turns");
+    let formerly_idle = first.iter().filter(|number| *number % 2 == 1).count();
+    assert!((9..=12).contains(&formerly_idle), "the idle group got {formerly_idle} of 20 requests");
 }
 
 #[test]
-fn late_and_surplus_requests_are_refused_and_late_ones_dropped_at_the_head() {
+fn requests_over_the_limit_or_past_their_deadline_are_rejected() {
     let now = BootInstant::now();
     let mut queue = FairQueue::new();
     queue.set_group(&group(0), Weight(1), 3);
-    let soon = ask(0, 1, now + Duration::from_millis(12));
+    let short_deadline = request(0, 1, now + Duration::from_millis(12));
     let item = |number| Item { number, is_wanted: true };
-    assert_eq!(queue.push(&soon, item(0), 1, now), Ok(()));
-    assert_eq!(queue.push(&soon, item(1), 1, now), Ok(()));
-    assert_eq!(queue.push(&soon, item(2), 1, now), Ok(()));
-    // Three are ahead, 5 ms each on one slot: the next could not be served within 12 ms.
-    assert_eq!(queue.push(&soon, item(3), 1, now), Err(QueueError::Late));
-    let patient = ask(0, 1, now + Duration::from_secs(1));
-    assert_eq!(queue.push(&patient, item(4), 1, now), Err(QueueError::Full));
+    assert_eq!(queue.push(&short_deadline, item(0), 1, now), Ok(()));
+    assert_eq!(queue.push(&short_deadline, item(1), 1, now), Ok(()));
+    assert_eq!(queue.push(&short_deadline, item(2), 1, now), Ok(()));
+    // Three requests of 5 ms each are ahead on one slot, so the next can't start within 12 ms.
+    assert_eq!(queue.push(&short_deadline, item(3), 1, now), Err(QueueError::Late));
+    let long_deadline = request(0, 1, now + Duration::from_secs(1));
+    assert_eq!(queue.push(&long_deadline, item(4), 1, now), Err(QueueError::Full));
     let popped = queue.pop(now + Duration::from_millis(10));
     assert!(popped.next.is_none());
     assert_eq!(popped.late.iter().map(|item| item.number).collect::<Vec<_>>(), [0, 1, 2]);
--- a/reachhead_path/tests/loan.rs
+++ b/reachhead_path/tests/loan.rs
@@ -1,4 +1,4 @@
-//! Loans of slots: the sum over all hosts never passes the minion's limit.
+//! Loans of slots: the running requests of all hosts never exceed the limit of the minion.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const GRACE: Duration = Duration::from_millis(500);
 
-/// A host with its share, and the ends of the requests that run for it.
+/// A host with its share of slots and the end times of its requests.
 struct Host {
     table: LoanTable,
     share: u32,
@@ -28,8 +28,8 @@
 }
 
 properties! {
-    /// Hosts start requests whenever they may, ask each other for loans, answers take their time,
-    /// and some borrowers return early; no request is longer than the grace.
+    /// Hosts start requests whenever they may and borrow slots from each other; answers are
+    /// delayed, and no request takes longer than the grace period.
     fn the_sum_never_passes_the_limit(steps: Vec<(u8, u8, u16)>) -> bool {
         let start = BootInstant::now();
         let mut hosts: Vec<Host> = [3, 3, 2]
@@ -54,10 +54,10 @@
                     let lender = &mut hosts[other];
                     let share = SlotUsage { slots: lender.share, running: lender.running(now) };
                     let lent = lender.table.lend(LoanId(next), share, 4, GRACE, now);
-                    // The question was on its way for a while; the answer is noted later.
-                    let asked = now - Duration::from_millis(50);
+                    // The request took a while to arrive, and the answer is recorded later.
+                    let requested = now - Duration::from_millis(50);
                     let later = now + Duration::from_millis(u64::from(time) % 200);
-                    hosts[host].table.borrow(LoanId(next), lent, asked, later);
+                    hosts[host].table.borrow(LoanId(next), lent, requested, later);
                 }
                 _ => now += LOAN_DURATION / 4,
             }
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_loan_ends_by_the_return_or_by_the_term_and_the_grace() {
+fn a_loan_ends_when_returned_or_after_its_duration_and_the_grace_period() {
     let now = BootInstant::now();
     let mut lender = LoanTable::new();
     let share = SlotUsage { slots: 8, running: 2 };
--- a/reachhead_path/tests/share.rs
+++ b/reachhead_path/tests/share.rs
@@ -1,4 +1,4 @@
-//! Slots of a minion split over entry hosts: the sum holds, whatever each host has noticed.
+//! Slots of a minion assigned to entry hosts: no slot is used twice, whichever list each host has.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -10,21 +10,23 @@
 use reachhead_types::{boot_instant::BootInstant, id::Incarnation, member::MemberId};
 
 fn host(number: u8) -> MemberId {
-    stay(number, 0)
+    member(number, 0)
 }
 
-fn stay(number: u8, incarnation: u64) -> MemberId {
+fn member(number: u8, incarnation: u64) -> MemberId {
     MemberId { host: format!("e{number}").parse().unwrap(), incarnation: Incarnation(incarnation) }
 }
 
-/// The naive version: slots one after the other, hosts that have their even part struck out.
+/// The naive implementation: assigns one slot after the other to the hosts without an even share.
 fn naive_owners(hosts: &[MemberId], minion: &str, slots: u32) -> Vec<usize> {
     let mut left: Vec<u32> = vec![slots.div_ceil(hosts.len().max(1) as u32); hosts.len()];
     let mut result = Vec::new();
     for slot in 0..slots {
         let open: Vec<usize> = (0..hosts.len()).filter(|&index| left[index] > 0).collect();
         let winner = open.iter().copied().find(|&one| {
-            open.iter().all(|&other| one == other || wins(&hosts[one], &hosts[other], minion, slot))
+            open.iter().all(|&other| {
+                one == other || has_higher_score(&hosts[one], &hosts[other], minion, slot)
+            })
         });
         if let Some(winner) = winner {
             left[winner] -= 1;
@@ -34,7 +36,7 @@
     result
 }
 
-fn wins(one: &MemberId, other: &MemberId, minion: &str, slot: u32) -> bool {
+fn has_higher_score(one: &MemberId, other: &MemberId, minion: &str, slot: u32) -> bool {
     score(one, minion, slot) > score(other, minion, slot)
 }
 
@@ -49,9 +51,9 @@
         let hosts: Vec<MemberId> = (0..count % 12 + 1).map(host).collect();
         let slots = u32::from(slots);
         let owners = slot_owners(&hosts, "alpha/m1", slots);
-        let even = slots.div_ceil(hosts.len() as u32) as usize;
+        let even_share = slots.div_ceil(hosts.len() as u32) as usize;
         (0..hosts.len())
-            .all(|index| owners.iter().filter(|&&owner| owner == index).count() <= even)
+            .all(|index| owners.iter().filter(|&&owner| owner == index).count() <= even_share)
     }
 
     fn hosts_with_one_list_use_each_slot_once(count: u8, slots: u8) -> TestResult {
@@ -71,8 +73,9 @@
         TestResult::from_bool(used == u32::from(slots))
     }
 
-    /// Lists change at random moments and each host notices after its own delay, shorter than half
-    /// the hold; at no moment do two hosts use one slot. A host that comes back is another stay.
+    /// Lists change at random times, and each host notices a change after its own delay, which is
+    /// shorter than half the hold. At no time do two hosts use the same slot. A host that rejoins
+    /// has a new incarnation.
     fn no_slot_is_used_twice_while_lists_change(changes: Vec<(u8, u16)>, delays: Vec<u16>) -> bool {
         const HOLD: u64 = 1000;
         const NOTICE: u64 = HOLD / 2;
@@ -81,7 +84,7 @@
         let mut at = HOLD * 2;
         for (number, (which, gap)) in changes.into_iter().take(6).enumerate() {
             let mut list = lists.last().unwrap().1.clone();
-            let host = stay(which % 6, number as u64 + 1);
+            let host = member(which % 6, number as u64 + 1);
             match list.iter().position(|one| one.host == host.host) {
                 Some(index) => drop(list.remove(index)),
                 None => list.push(host),
@@ -100,7 +103,8 @@
             let now = start + Duration::from_millis(moment);
             let mut used = 0;
             for (number, share) in shares.iter_mut().enumerate() {
-                // The newest list that this host has noticed by now; it may miss some between.
+                // The latest list that this host has noticed by now; it may have missed earlier
+                // ones.
                 let seen = lists
                     .iter()
                     .enumerate()
@@ -121,7 +125,7 @@
 }
 
 #[test]
-fn a_new_process_uses_nothing_before_the_hold_is_over() {
+fn a_new_process_uses_no_slots_before_the_hold_is_over() {
     let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn a_host_off_the_list_stops_at_once() {
+fn a_host_that_is_removed_from_the_list_stops_at_once() {
     let now = BootInstant::now();
     let mut shares = ShareHistory::new();
     shares.record_list(vec![host(1), host(2)], Some(host(1)), now);
@@ -144,23 +148,24 @@
 }
 
 #[test]
-fn a_host_that_was_off_the_list_unseen_waits_out_the_hold() {
+fn a_host_that_rejoined_unnoticed_waits_for_the_hold() {
     let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
-    shares.record_list(vec![stay(1, 1)], Some(stay(1, 1)), now);
+    shares.record_list(vec![member(1, 1)], Some(member(1, 1)), now);
     shares.expire_lists(hold, now + hold);
     assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
-    // It was paused, taken off and is back; meanwhile another may have used the slots.
-    shares.record_list(vec![stay(1, 2)], Some(stay(1, 2)), now + hold);
+    // The host was paused, removed from the list and has rejoined; another host may have used its
+    // slots in the meantime.
+    shares.record_list(vec![member(1, 2)], Some(member(1, 2)), now + hold);
     assert_eq!(shares.usable_slots("alpha/m1", 8), 0);
     shares.expire_lists(hold, now + hold * 2);
     assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
 }
 
-/// Joining and leaving move few slots: what a change moves is out of use for the hold.
+/// A host that joins or leaves moves few slots, since a moved slot is unused for the hold.
 #[test]
-fn a_change_of_one_host_moves_about_its_own_part() {
+fn a_joining_host_moves_about_its_own_share() {
     for count in [3_u8, 6, 9] {
         let before: Vec<MemberId> = (0..count).map(host).collect();
         let after: Vec<MemberId> = (0..=count).map(host).collect();
@@ -173,7 +178,7 @@
             moved += (0..8).filter(|&slot| before[old[slot]] != after[new[slot]]).count();
         }
         let share = moved as f64 / f64::from(8 * minions);
-        let own_part = 1.0 / f64::from(count + 1);
-        assert!(share < own_part * 3.0, "{count} hosts: {share:.2} of the slots moved");
+        let own_share = 1.0 / f64::from(count + 1);
+        assert!(share < own_share * 3.0, "{count} hosts: {share:.2} of the slots moved");
     }
 }
