--- a/reachhead_jobs/tests/walk/site.rs
+++ b/reachhead_jobs/tests/walk/site.rs
@@ -27,7 +27,7 @@
     size::{FencingToken, Millis, Revision, RunNumber},
 };
 
-use reachhead_site::life::{Deed, Life, Nature};
+use reachhead_site::incarnation::{TaskBehavior, WorkerEvent, WorkerIncarnation};
 
 mod judge;
 mod messages;
@@ -124,7 +124,7 @@
     now: u64,
     store: MemoryStore,
     owners: Vec<Owner>,
-    workers: BTreeMap<WorkerId, Life>,
+    workers: BTreeMap<WorkerId, WorkerIncarnation>,
     draining: BTreeSet<WorkerId>,
     events: BTreeMap<(u64, u64), Event>,
     count: u64,
@@ -231,7 +231,7 @@
     fn add_worker(&mut self) {
         self.lives += 1;
         let id = format!("w{}", self.lives).parse().unwrap();
-        let mut life = Life::new(self.lives * 10_000, Amount::new(2000, 4000, 0));
+        let mut life = WorkerIncarnation::new(self.lives * 10_000, Amount::new(2000, 4000, 0));
         life.born = self.restarting.then_some(Millis(self.now + self.lives));
         self.workers.insert(id, life);
         self.list();
@@ -241,13 +241,14 @@
     fn restart(&mut self, id: WorkerId) {
         self.lives += 1;
         let born = Millis(self.now + self.lives);
-        let life = Life::new(self.lives, Amount::new(2000, 4000, 0)).with_birth(born);
+        let life =
+            WorkerIncarnation::new(self.lives, Amount::new(2000, 4000, 0)).with_start_time(born);
         self.workers.insert(id, life);
         self.list();
     }
 
     fn infos(&self) -> Vec<WorkerInfo> {
-        let info = |(id, life): (&WorkerId, &Life)| WorkerInfo {
+        let info = |(id, life): (&WorkerId, &WorkerIncarnation)| WorkerInfo {
             id: id.clone(),
             born: life.born,
             pool: pool_name(),
--- a/reachhead_jobs/tests/walk/site/judge.rs
+++ b/reachhead_jobs/tests/walk/site/judge.rs
@@ -10,7 +10,7 @@
 };
 use reachhead_types::id::JobId;
 
-use super::{Deed, NEED, Site, pool_name};
+use super::{NEED, Site, WorkerEvent, pool_name};
 
 impl Site {
     /// Looks whether a part's fence was lowered.
@@ -32,9 +32,9 @@
     pub(super) fn judge(&mut self) {
         self.judge_fences();
         for (id, life) in &mut self.workers {
-            for deed in std::mem::take(&mut life.deeds) {
+            for deed in std::mem::take(&mut life.events) {
                 match deed {
-                    Deed::Began(task) => {
+                    WorkerEvent::RunStarted(task) => {
                         let seen = self.tasks.entry(task).or_default();
                         if !seen.running.is_empty() {
                             self.wrong
@@ -56,15 +56,15 @@
                             }
                         }
                     }
-                    Deed::Noted(task, at) => {
+                    WorkerEvent::EndAcknowledged(task, at) => {
                         let seen = self.tasks.entry(task).or_default();
                         seen.noted = true;
                         if seen.began > at {
                             self.wrong.push(format!("{task} was done and began again"));
                         }
                     }
-                    Deed::Forgotten(_) => {}
-                    Deed::Ended(task, end) => {
+                    WorkerEvent::EndLost(_) => {}
+                    WorkerEvent::RunEnded(task, end) => {
                         let seen = self.tasks.entry(task).or_default();
                         seen.running.remove(id);
                         seen.done |= end == RunEnd::Done;
--- a/reachhead_jobs/tests/walk/site/messages.rs
+++ b/reachhead_jobs/tests/walk/site/messages.rs
@@ -8,7 +8,7 @@
 };
 use reachhead_types::id::WorkerId;
 
-use super::{Answer, Event, Life, Nature, REBOOT_TIME, Site, TASK_TIME, TRAVEL};
+use super::{Answer, Event, REBOOT_TIME, Site, TASK_TIME, TRAVEL, TaskBehavior, WorkerIncarnation};
 
 impl Site {
     /// Returns whether the next call's answer is lost, and how late it is carried out.
@@ -90,9 +90,10 @@
             }
             Action::Start(target, order) => {
                 let time = (!self.lasts(&order.task)).then_some(TASK_TIME);
-                let nature = Nature { time, fails: false, crashes: false };
+                let nature = TaskBehavior { time, fails: false, crashes: false };
                 let life = self.workers.get_mut(&target.id).filter(|_| reach(&target.id));
-                let start = |life: &mut Life| life.start(target.token, order, nature, now);
+                let start =
+                    |life: &mut WorkerIncarnation| life.start(target.token, order, nature, now);
                 let result = life.map_or(Err(gone()), start);
                 if result.is_ok() {
                     self.meet_culprit(owner, &target.id, order.task);
--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -155,7 +155,7 @@
 
 /// Returns the age above which the configuration is looked at before anything is decided by it.
 pub fn config_age(node: &Node) -> Millis {
-    Millis(node.settings.apply.0 * AGE_PERCENT / 100).max(CONFIG_AGE)
+    Millis(node.settings.apply_timeout.0 * AGE_PERCENT / 100).max(CONFIG_AGE)
 }
 
 /// Keeps an owner of pools from being behind what operators wrote, for as long as the process lives: where the store turns it
--- a/reachhead_node/src/claims.rs
+++ b/reachhead_node/src/claims.rs
@@ -355,13 +355,13 @@
 fn timeouts(node: &Node) -> PoolTimeouts {
     let settings = &node.settings;
     PoolTimeouts {
-        hold: settings.hold.min(HOLD_MOST),
+        hold: settings.max_lease.min(HOLD_MOST),
         trust: TRUST_TIME,
         wait: POLL_WAIT,
-        notice: settings.notice,
-        gang: settings.gang,
-        stop: settings.stop,
-        grant: settings.hold,
-        drain: settings.zone_drain,
+        notice: settings.notice_period,
+        gang: settings.gang_timeout,
+        stop: settings.stop_timeout,
+        grant: settings.max_lease,
+        drain: settings.drain_lag,
     }
 }
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -61,8 +61,8 @@
         own: owner == Some(&node.settings.node),
         denied: heard.filter(denies).map(|heard| heard.at),
     };
-    let checked = node.settings.machines.is_none_or(|machines| machines.fenced);
-    previous.takeover_wait(node.now(), node.settings.duty, checked)
+    let checked = node.settings.host_api.is_none_or(|machines| machines.fencing_enforced);
+    previous.takeover_wait(node.now(), node.settings.lease_duration, checked)
 }
 
 /// Returns the name under which the lease of all hosts is kept; no pool of the platform begins so.
--- a/reachhead_node/src/mandate.rs
+++ b/reachhead_node/src/mandate.rs
@@ -33,7 +33,7 @@
     /// Returns what an order may be given on, or `None` if the store does not confirm the lease now. Nothing may be
     /// waited for between this and the order.
     pub async fn permit(&self) -> Option<OrderPermit> {
-        let checked = self.node.settings.machines.is_none_or(|machines| machines.fenced);
+        let checked = self.node.settings.host_api.is_none_or(|machines| machines.fencing_enforced);
         if checked {
             return Some(OrderPermit { token: self.token, until: None });
         }
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -113,7 +113,7 @@
 
     /// Returns how many orders a second the platform takes.
     fn rate(&self) -> f64 {
-        self.node.settings.machines.map_or(0.0, |machines| machines.rate)
+        self.node.settings.host_api.map_or(0.0, |machines| machines.order_rate)
     }
 
     /// Looks at all pools and moves what should be elsewhere. `held` are hosts that something else is
--- a/reachhead_node/src/node.rs
+++ b/reachhead_node/src/node.rs
@@ -124,7 +124,7 @@
     /// Returns how many starts of tasks a second the process bears.
     pub fn strength(&self) -> Strength {
         let by_cores = self.settings.cores / START_CORES;
-        let by_link = self.settings.link * MEGABIT / START_BITS;
+        let by_link = self.settings.link_mbps * MEGABIT / START_BITS;
         Strength(by_cores.min(by_link) as u32)
     }
 
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -128,7 +128,7 @@
     release_all(&node).await;
     time::sleep_until(begun + DRAIN_TIME).await;
     let _ = close.send(true);
-    let end = begun + node.settings.grace.duration().saturating_sub(END_MARGIN);
+    let end = begun + node.settings.grace_period.duration().saturating_sub(END_MARGIN);
     let drained = time::timeout_at(end, async { while listeners.join_next().await.is_some() {} });
     match drained.await {
         Ok(()) => emit(Event::ShutdownDone, format_args!("node={}", node.settings.node)),
@@ -148,7 +148,7 @@
         ),
         feed: Arc::new(table(FEED_TIME)),
         workers: Arc::new(HttpWorkers::new(Arc::clone(client), ORDER_TIME, POLL_TIME)),
-        machines: settings.machines.map(|machines| {
+        machines: settings.host_api.map(|machines| {
             let node = settings.node.clone();
             Arc::new(HttpHostApi::new(Arc::clone(client), machines.address, node, MACHINE_TIME))
                 as _
