--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -159,7 +159,7 @@
 
 /// Returns the age above which the configuration is refreshed before it decides anything.
 pub fn max_config_age(node: &Node) -> Millis {
-    Millis(node.settings.apply.0 * REFRESH_AGE_PERCENT / 100).max(MIN_REFRESH_AGE)
+    Millis(node.settings.apply_timeout.0 * REFRESH_AGE_PERCENT / 100).max(MIN_REFRESH_AGE)
 }
 
 /// Keeps the configuration of an owner of pools current, for as long as the process runs. If the
--- a/reachhead_node/src/election.rs
+++ b/reachhead_node/src/election.rs
@@ -364,13 +364,13 @@
 fn timeouts(node: &Node) -> PoolTimeouts {
     let settings = &node.settings;
     PoolTimeouts {
-        hold: settings.hold.min(MAX_WORKER_LEASE),
+        hold: settings.max_lease.min(MAX_WORKER_LEASE),
         trust: LEASE_TRUST_TIME,
         wait: POLL_WAIT,
-        notice: settings.notice,
-        gang: settings.gang,
-        stop: settings.stop,
-        grant: settings.hold,
-        drain: settings.zone_drain,
+        notice: settings.notice_period,
+        gang: settings.gang_timeout,
+        stop: settings.stop_timeout,
+        grant: settings.max_lease,
+        drain: settings.drain_lag,
     }
 }
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -63,8 +63,8 @@
         own: owner == Some(&node.settings.node),
         denied: status.filter(denies_lease).map(|status| status.at),
     };
-    let platform_checks_token = node.settings.machines.is_none_or(|hosts| hosts.fenced);
-    previous.takeover_wait(node.now(), node.settings.duty, platform_checks_token)
+    let platform_checks_token = node.settings.host_api.is_none_or(|hosts| hosts.fencing_enforced);
+    previous.takeover_wait(node.now(), node.settings.lease_duration, platform_checks_token)
 }
 
 /// Returns the name of the fleet lease; no pool of the platform has a name that starts with a dot.
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -114,7 +114,7 @@
 
     /// Returns how many orders per second the platform takes.
     fn rate(&self) -> f64 {
-        self.node.settings.machines.map_or(0.0, |hosts| hosts.rate)
+        self.node.settings.host_api.map_or(0.0, |hosts| hosts.order_rate)
     }
 
     /// Reads the load of all pools and moves hosts accordingly. Hosts for which `is_held` is true
--- a/reachhead_node/src/node.rs
+++ b/reachhead_node/src/node.rs
@@ -126,7 +126,7 @@
     /// Returns the process's capacity, in starts of tasks per second.
     pub fn strength(&self) -> Strength {
         let by_cores = self.settings.cores / CORE_SECONDS_PER_START;
-        let by_link = self.settings.link * BITS_PER_MEGABIT / LINK_BITS_PER_START;
+        let by_link = self.settings.link_mbps * BITS_PER_MEGABIT / LINK_BITS_PER_START;
         Strength(by_cores.min(by_link) as u32)
     }
 
--- a/reachhead_node/src/order_permit.rs
+++ b/reachhead_node/src/order_permit.rs
@@ -33,7 +33,8 @@
     /// Returns a permit, or `None` if the store does not confirm the lease now. The caller must not
     /// wait for anything between this and the order.
     pub async fn permit(&self) -> Option<OrderPermit> {
-        let platform_checks_token = self.node.settings.machines.is_none_or(|hosts| hosts.fenced);
+        let platform_checks_token =
+            self.node.settings.host_api.is_none_or(|hosts| hosts.fencing_enforced);
         if platform_checks_token {
             return Some(OrderPermit { token: self.token, until: None });
         }
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -131,7 +131,7 @@
     release_all(&node).await;
     time::sleep_until(begun + DRAIN_PERIOD).await;
     let _ = close.send(true);
-    let end = begun + node.settings.grace.duration().saturating_sub(SHUTDOWN_MARGIN);
+    let end = begun + node.settings.grace_period.duration().saturating_sub(SHUTDOWN_MARGIN);
     let drained = time::timeout_at(end, async { while listeners.join_next().await.is_some() {} });
     match drained.await {
         Ok(()) => emit(Event::ShutdownDone, format_args!("node={}", node.settings.node)),
@@ -151,7 +151,7 @@
         ),
         feed: Arc::new(table(FEED_TIMEOUT)),
         workers: Arc::new(HttpWorkers::new(Arc::clone(client), ORDER_TIMEOUT, POLL_TIMEOUT)),
-        hosts: settings.machines.map(|hosts| {
+        hosts: settings.host_api.map(|hosts| {
             let node = settings.node.clone();
             Arc::new(HttpHostApi::new(Arc::clone(client), hosts.address, node, HOST_API_TIMEOUT))
                 as _
