--- a/reachhead_jobs/src/balance/mod.rs
+++ b/reachhead_jobs/src/balance/mod.rs
@@ -3,7 +3,7 @@
 //! A host that moves is away for a while and everything on it ends, so only empty ones move. Demand
 //! comes in bursts of some seconds, so a host is also worth moving that is needed only for a few.
 
-mod parking;
+mod scale_down;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,8 +12,8 @@
     size::Millis,
 };
 
-use self::parking::Parking;
-pub use self::parking::{ClockPair, PoolUsage, UsageRecord, restart_cost};
+use self::scale_down::ScaleDown;
+pub use self::scale_down::{ClockPair, PoolUsage, UsageRecord, restart_cost};
 use crate::{
     clock::Tick,
     division::{Claim, divide},
@@ -83,7 +83,7 @@
     place: BTreeMap<HostId, PoolName>,
     /// Since when a host is up and its worker is of no use to its pool.
     absent: BTreeMap<HostId, Tick>,
-    parking: Parking,
+    scale_down: ScaleDown,
 }
 
 /// A pool's hosts and what it needs of them.
@@ -158,19 +158,19 @@
         self.fill(&mut accounts, &mut off, &mut moves);
         if let Some(spare) = spare {
             let cost = restart_cost(machines.len(), rate);
-            moves.extend(self.parking.next(&accounts, &spare, cost, now));
+            moves.extend(self.scale_down.next(&accounts, &spare, cost, now));
         }
         moves
     }
 
     /// Returns what a successor has to know of the pools' use of their hosts.
     pub fn record(&self, clock: ClockPair) -> UsageRecord {
-        self.parking.record(clock)
+        self.scale_down.record(clock)
     }
 
     /// Takes over what a predecessor knew of it.
     pub fn restore(&mut self, record: &UsageRecord, clock: ClockPair) {
-        self.parking.restore(record, clock);
+        self.scale_down.restore(record, clock);
     }
 
     /// Returns what the last round found, before its moves.
--- a/reachhead_jobs/src/balance/parking.rs
+++ b/reachhead_jobs/src/balance/scale_down.rs
@@ -67,7 +67,7 @@
 
 /// What is remembered of the pools' use of their hosts.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Parking {
+pub(super) struct ScaleDown {
     pools: BTreeMap<PoolName, Use>,
     /// Since when a pool has had more hosts than it keeps.
     idle: BTreeMap<PoolName, Tick>,
@@ -84,7 +84,7 @@
     highest: VecDeque<(Tick, usize)>,
 }
 
-impl Parking {
+impl ScaleDown {
     /// Returns what a successor has to know.
     pub(super) fn record(&self, clock: ClockPair) -> UsageRecord {
         let pools = self.pools.iter().filter_map(|(pool, used)| {
--- a/reachhead_jobs/src/crashes.rs
+++ b/reachhead_jobs/src/crashes.rs
@@ -21,7 +21,7 @@
 
 /// The part that a task had in a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum CrashRole {
     /// It had begun to work before, as all others there had.
     Bystander,
     /// It was one of several that had not begun to work.
@@ -43,10 +43,10 @@
 
 impl Crashes {
     /// Notes a crash.
-    pub fn note(&mut self, part: Part) {
+    pub fn note(&mut self, role: CrashRole) {
         self.total += 1;
-        self.fresh += u32::from(part != Part::Bystander);
-        self.own += u32::from(part == Part::Own);
+        self.fresh += u32::from(role != CrashRole::Bystander);
+        self.own += u32::from(role == CrashRole::Own);
     }
 
     /// Tells whether there were none.
--- a/reachhead_jobs/src/rescue.rs
+++ b/reachhead_jobs/src/expiring_budget.rs
@@ -11,11 +11,11 @@
 
 /// What late jobs may still take of a pool's room, in thousandths of a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Share {
+pub struct ExpiringBudget {
     left: u64,
 }
 
-impl Share {
+impl ExpiringBudget {
     /// Returns the share in a pool with `room`, of which late jobs have `used`.
     pub fn new(room: u64, used: u64) -> Self {
         Self { left: (room * SHARE_PERCENT / 100).saturating_sub(used) }
--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -90,7 +90,7 @@
 
 /// What was learned of the queues of a pool.
 #[derive(Debug, Clone, Default)]
-pub struct Experience {
+pub struct DurationEstimator {
     durations: BTreeMap<RouteName, Durations>,
     work: BTreeMap<RouteName, Work>,
 }
@@ -117,7 +117,7 @@
     }
 }
 
-impl Experience {
+impl DurationEstimator {
     /// Notes how long a task took.
     pub fn learn(&mut self, queue: &RouteName, guess: Millis, real: Millis) {
         let durations = self.durations.entry(queue.clone()).or_insert_with(Durations::new);
@@ -125,7 +125,7 @@
     }
 
     /// Notes a job that was accepted.
-    pub fn admit(&mut self, queue: &RouteName, plan: &Plan) {
+    pub fn observe_job(&mut self, queue: &RouteName, plan: &Plan) {
         self.work.entry(queue.clone()).or_default().learn(plan);
     }
 
@@ -222,7 +222,7 @@
     /// Its tasks must be at work all the time.
     LongRunning,
     /// It is late, and unless it starts soon nobody waits for it any more. It goes first inside a share of the pool's
-    /// room, see [`crate::rescue`].
+    /// room, see [`crate::expiring_budget`].
     Expiring,
     /// It can be done in time.
     InTime,
--- a/reachhead_jobs/src/pool/adopt.rs
+++ b/reachhead_jobs/src/pool/adopt.rs
@@ -14,7 +14,7 @@
 impl Pool {
     pub(super) fn inherit_job(&mut self, stored: StoredJob, now: Tick, wall: Millis) {
         let age = Millis(wall.0.saturating_sub(stored.record.accepted.0));
-        self.experience.admit(&stored.record.queue.name, &stored.record.plan);
+        self.estimator.observe_job(&stored.record.queue.name, &stored.record.plan);
         self.fills |= stored.record.plan.has_fills();
         let mut job = Job::new(stored.id, &stored.record, now - age);
         job.row = Some(stored.row);
--- a/reachhead_jobs/src/pool/crash.rs
+++ b/reachhead_jobs/src/pool/crash.rs
@@ -6,12 +6,12 @@
 
 use crate::{
     clock::Tick,
-    crashes::{Crashes, Part},
+    crashes::{CrashRole, Crashes},
     job::Run,
     pool::{NoteKind, Pool},
     ports::RunningEntry,
     task::TaskId,
-    worker::{Involved, Worker},
+    worker::{CrashSuspect, Worker},
 };
 
 /// Tasks that a line of the log names at most; one worker may have dozens.
@@ -73,30 +73,30 @@
     }
 
     /// Returns the tasks that may be what a worker crashes by if it does so now.
-    pub(super) fn involved(&self, worker: &Worker) -> Vec<Involved> {
+    pub(super) fn involved(&self, worker: &Worker) -> Vec<CrashSuspect> {
         let fresh = self.fresh_on(worker);
         if let [task] = fresh.as_slice() {
-            return vec![Involved { task: *task, part: Part::Own }];
+            return vec![CrashSuspect { task: *task, role: CrashRole::Own }];
         }
         if !fresh.is_empty() {
-            let part = Part::Fresh;
-            return fresh.into_iter().map(|task| Involved { task, part }).collect();
+            let role = CrashRole::Fresh;
+            return fresh.into_iter().map(|task| CrashSuspect { task, role }).collect();
         }
         // A task that runs on and is at work serves its users best by another start, however often hosts go down.
         let ends = |task: &&TaskId| !self.is_lasting(**task);
-        let part = Part::Bystander;
-        worker.runs.keys().filter(ends).map(|task| Involved { task: *task, part }).collect()
+        let role = CrashRole::Bystander;
+        worker.runs.keys().filter(ends).map(|task| CrashSuspect { task: *task, role }).collect()
     }
 
     /// Notes that a worker crashed under a task, and gives the task up if it is the cause.
-    pub(super) fn blame_task(&mut self, Involved { task: id, part }: Involved) {
+    pub(super) fn blame_task(&mut self, CrashSuspect { task: id, role }: CrashSuspect) {
         let Some(job) = self.jobs.get_mut(&id.job).filter(|job| job.ending.is_none()) else {
             return;
         };
         let Some(task) = job.task(id).filter(|task| !task.done) else {
             return;
         };
-        task.crashes.note(part);
+        task.crashes.note(role);
         let Crashes { total, own, .. } = task.crashes;
         if task.crashes.is_conclusive() {
             self.note(NoteKind::TaskGivenUp, format!("task={id} crashes={total} own={own}"));
--- a/reachhead_jobs/src/pool/drain_worker.rs
+++ b/reachhead_jobs/src/pool/drain_worker.rs
@@ -69,7 +69,7 @@
         worker.cordoned = until;
         // Ends that are not recorded are known to the worker alone if this owner is lost.
         let recorded = worker.seen >= worker.noted;
-        if worker.is_bare() && recorded {
+        if worker.is_idle() && recorded {
             return DrainProgress::Empty;
         }
         if !settled || !worker.answered {
--- a/reachhead_jobs/src/pool/expiring.rs
+++ b/reachhead_jobs/src/pool/expiring.rs
@@ -5,10 +5,10 @@
 use super::starts::Ranked;
 use crate::{
     clock::Tick,
+    expiring_budget::ExpiringBudget,
     job::{Job, StepState},
     order::Class,
     pool::Pool,
-    rescue::Share,
     task::StepId,
 };
 
@@ -18,7 +18,7 @@
         if !ranked.iter().any(|job| job.rank.class == Class::Expiring) {
             return ranked;
         }
-        let mut share = Share::new(self.usable_cores(now), self.late_cores());
+        let mut share = ExpiringBudget::new(self.usable_cores(now), self.late_cores());
         let fits = |job: &Ranked| {
             job.rank.class != Class::Expiring || share.take(self.waiting_cores(job.id))
         };
@@ -41,10 +41,10 @@
     }
 
     fn late_cores_of(&self, job: &Job) -> u64 {
-        let limit = job.accepted + self.experience.objective(&job.queue, &job.plan);
+        let limit = job.accepted + self.estimator.objective(&job.queue, &job.plan);
         let of_step = |(id, state): (&StepId, &StepState)| {
             let step = job.step(*id);
-            let time = self.experience.predict(&job.queue.name, step);
+            let time = self.estimator.predict(&job.queue.name, step);
             let runs = state.tasks.iter().flat_map(|task| &task.runs);
             step.charge().cores * runs.filter(|run| run.since + time > limit).count() as u64
         };
--- a/reachhead_jobs/src/pool/load.rs
+++ b/reachhead_jobs/src/pool/load.rs
@@ -137,7 +137,7 @@
         let mut least = 0;
         let mut rooms = self.headrooms();
         for job in self.jobs.values().filter(|job| job.ending.is_none()) {
-            let class = self.experience.rank(job, now).class;
+            let class = self.estimator.rank(job, now).class;
             for (id, state) in &job.steps {
                 let step = job.step(*id);
                 let cores = step.charge().cores;
@@ -148,7 +148,7 @@
                     }
                     continue;
                 }
-                let time = self.experience.predict(&job.queue.name, step).0;
+                let time = self.estimator.predict(&job.queue.name, step).0;
                 // What callers ask for has no bound, so sums stop at the largest number.
                 let work = cores.saturating_mul(time);
                 for task in state.tasks.iter().filter(|task| !task.done) {
@@ -170,7 +170,7 @@
         }
         let timely = running.saturating_add(waiting / BACKLOG_TIME);
         let whole = running.saturating_add(waiting.saturating_add(late) / BACKLOG_TIME);
-        let rate = self.arrivals.forecast(now, |queue| self.experience.mean_work(queue));
+        let rate = self.arrivals.forecast(now, |queue| self.estimator.mean_work(queue));
         PoolLoad {
             need: whole.max(rate).saturating_add(lasting),
             timely: timely.max(rate).saturating_add(lasting),
@@ -186,7 +186,10 @@
 
     fn worker_loads(&self, now: Tick) -> Vec<WorkerLoad> {
         let usable = self.workers.values().filter(|worker| {
-            worker.listed && worker.answered && !worker.silent && worker.conduct.suspended <= now
+            worker.listed
+                && worker.answered
+                && !worker.silent
+                && worker.failure_history.suspended <= now
         });
         usable
             .map(|worker| WorkerLoad {
--- a/reachhead_jobs/src/pool/mod.rs
+++ b/reachhead_jobs/src/pool/mod.rs
@@ -45,7 +45,7 @@
 use crate::{
     clock::{Tick, with_drift},
     job::Job,
-    order::Experience,
+    order::DurationEstimator,
     ports::{EndedEntry, WorkerInfo, WorkerTarget},
     record::{Ending, FinalRecord, JobRecord, LeaseRecord},
     shard::Shard,
@@ -140,7 +140,7 @@
     refusals: refusal::Refusals,
     /// Lives of workers that are known to be over, whatever the platform's list still says, and when they began.
     over: BTreeMap<WorkerId, Option<Millis>>,
-    experience: Experience,
+    estimator: DurationEstimator,
     advice: advice::AdviceBook,
     quotas: quota::Quotas,
     arrived: weights::Arrived,
@@ -207,7 +207,7 @@
             dirty: BTreeSet::new(),
             refusals: refusal::Refusals::default(),
             over: BTreeMap::new(),
-            experience: Experience::default(),
+            estimator: DurationEstimator::default(),
             advice: advice::AdviceBook::default(),
             quotas: quota::Quotas::default(),
             arrived: weights::Arrived::default(),
@@ -277,7 +277,7 @@
         if over || self.jobs.contains_key(&id) || self.closed.contains_key(&id) {
             return;
         }
-        self.experience.admit(&record.queue.name, &record.plan);
+        self.estimator.observe_job(&record.queue.name, &record.plan);
         self.fills |= record.plan.has_fills();
         if !record.plan.long_running() && self.may_use_hosts(record.customer.as_ref()) {
             self.arrivals.note(&record.queue.name, now);
@@ -310,7 +310,7 @@
                 Some(worker) if is_newer(worker.born, info.born) => {}
                 Some(worker) => {
                     if is_newer(info.born, worker.born) {
-                        worker.doubt(now);
+                        worker.mark_suspect(now);
                     }
                     if worker.info.capacity != info.capacity {
                         worker.full = Tick(0);
--- a/reachhead_jobs/src/pool/orders.rs
+++ b/reachhead_jobs/src/pool/orders.rs
@@ -119,7 +119,7 @@
         match error {
             WorkerError::Rejected(Rejection::Unhealthy) => {
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.conduct.suspend(now);
+                    worker.failure_history.suspend(now);
                 }
             }
             WorkerError::Rejected(Rejection::Room) => {
--- a/reachhead_jobs/src/pool/polls.rs
+++ b/reachhead_jobs/src/pool/polls.rs
@@ -59,7 +59,7 @@
             if let Action::Hold(target, order) = action
                 && let Some(worker) = self.workers.get_mut(&target.id)
             {
-                worker.poll = Poll::Out;
+                worker.poll = Poll::InFlight;
                 worker.granted = worker.granted.max(order.deadline.unwrap_or_default());
             }
         }
@@ -93,7 +93,7 @@
         let mut over: Vec<WorkerId> = Vec::new();
         let mut lapsed: Vec<WorkerId> = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.silent) {
-            let past = match worker.lapses() {
+            let past = match worker.leases_expire_at() {
                 Some(lapse) => lapse <= now,
                 None => !self.pending.contains_key(&worker.info.id),
             };
@@ -214,7 +214,7 @@
         if step.long_running && run.percent >= 100 {
             return false;
         }
-        let whole = self.experience.predict(&job.queue.name, step);
+        let whole = self.estimator.predict(&job.queue.name, step);
         let limit = (whole.0 * STILL_FACTOR / 100).max(STILL_LEAST.0);
         let heard = self.workers.get(&run.worker).is_some_and(|worker| !worker.silent);
         heard && now.since(run.moved) > Millis(limit)
@@ -280,7 +280,7 @@
                 && state.stills == 0
                 && let Some(worker) = self.workers.get_mut(&run.worker)
             {
-                worker.conduct.suspend(now);
+                worker.failure_history.suspend(now);
             }
             state.stills += u32::from(why == StopReason::Still);
             state.avoid.push(run.worker.clone());
--- a/reachhead_jobs/src/pool/reports.rs
+++ b/reachhead_jobs/src/pool/reports.rs
@@ -136,8 +136,8 @@
         let known = |entry: &&RunningEntry| {
             worker.runs.get(&entry.task).is_some_and(|charge| charge.run == entry.run)
         };
-        let strays = report.running.iter().filter(|entry| !known(entry)).count();
-        worker.strays = strays as u32;
+        let orphan_runs = report.running.iter().filter(|entry| !known(entry)).count();
+        worker.orphan_runs = orphan_runs as u32;
     }
 
     /// Learns from a run's progress how fast its worker is.
@@ -160,7 +160,7 @@
         if step.long_running || step.gang || span < GAUGE_SPAN.0 as f64 {
             return;
         }
-        let usual = self.experience.predict(&job.queue.name, step).0 as f64 / 100.0;
+        let usual = self.estimator.predict(&job.queue.name, step).0 as f64 / 100.0;
         let share = f64::from(entry.percent.saturating_sub(run.percent)) * usual / span;
         if let Some(worker) = self.workers.get_mut(id) {
             worker.speed.observe(share, now);
@@ -286,10 +286,10 @@
                     self.mark_end(id, entry);
                 }
                 if let Some(run) = run.filter(|run| !run.adopted && run.ticket.is_none()) {
-                    self.experience.learn(&queue, step.estimate, now.since(run.since));
+                    self.estimator.learn(&queue, step.estimate, now.since(run.since));
                 }
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.conduct.succeed();
+                    worker.failure_history.succeed();
                 }
             }
             RunEnd::Failed => {
@@ -376,7 +376,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.conduct.fail(entry.task.job, now) {
+        if worker.failure_history.fail(entry.task.job, now) {
             self.note(NoteKind::WorkerDoubted, format!("worker={id} suspended=true"));
         }
     }
--- a/reachhead_jobs/src/pool/roster.rs
+++ b/reachhead_jobs/src/pool/roster.rs
@@ -177,7 +177,7 @@
         let mut kept = BTreeSet::new();
         for worker in self.workers.values() {
             let id = &worker.info.id;
-            if worker.is_spent(now) && !self.pending.contains_key(id) {
+            if worker.is_expired(now) && !self.pending.contains_key(id) {
                 continue;
             }
             kept.insert(id);
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -57,7 +57,7 @@
             .values()
             .filter(|job| job.ending.is_none() && has_waiting(job))
             .filter(|job| !self.may_be_elsewhere(job))
-            .map(|job| Ranked { id: job.id, rank: self.experience.rank(job, now) })
+            .map(|job| Ranked { id: job.id, rank: self.estimator.rank(job, now) })
             .collect();
         ranked.sort_by(|a, b| a.rank.order(b.rank).then(a.id.cmp(&b.id)));
         let ranked = self.bound_expiring(ranked, now);
@@ -221,7 +221,7 @@
             return false;
         };
         let job = &self.jobs[&id.job];
-        let usual = self.experience.predict(&job.queue.name, job.step(id));
+        let usual = self.estimator.predict(&job.queue.name, job.step(id));
         let overdue = now.since(run.since) > usual;
         // A second worker must not crash before it is known whether the first one has.
         !task.done
--- a/reachhead_jobs/src/worker.rs
+++ b/reachhead_jobs/src/worker.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     clock::{ClockSample, Tick, WorkerTime},
-    crashes::Part,
+    crashes::CrashRole,
     ports::WorkerInfo,
     task::{StepId, TaskId},
 };
@@ -77,7 +77,7 @@
 
 /// How a worker treats its tasks lately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Conduct {
+pub struct FailureHistory {
     failures: u32,
     last_failed: Option<JobId>,
     several: bool,
@@ -87,7 +87,7 @@
     pub probation: bool,
 }
 
-impl Conduct {
+impl FailureHistory {
     /// Notes a success.
     pub fn succeed(&mut self) {
         *self = Self { suspended: self.suspended, ..Self::default() };
@@ -118,7 +118,7 @@
     /// The next one is due at this time.
     Due(Tick),
     /// One is under way.
-    Out,
+    InFlight,
 }
 
 /// An end that has to be recorded before the worker may forget it.
@@ -174,7 +174,7 @@
     pub used: Amount,
     /// Runs there that belong to no task that this owner knows. What they take is not known, so the
     /// worker gets nothing until they are gone.
-    pub strays: u32,
+    pub orphan_runs: u32,
     /// Operators drain its zone: it gets nothing new.
     pub drained: bool,
     /// Until when it gets nothing new, because planned work is about to take it.
@@ -195,20 +195,20 @@
     /// task's own.
     pub trial: Option<TaskId>,
     /// What it ran when its leases lapsed without an answer; if its life is over, it may be what it crashed by.
-    pub lapsed: Vec<Involved>,
+    pub lapsed: Vec<CrashSuspect>,
     /// How it treats its tasks.
-    pub conduct: Conduct,
+    pub failure_history: FailureHistory,
     /// How fast its tasks progress.
     pub speed: Speed,
 }
 
 /// A task on a worker that may have crashed, and its part in that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Involved {
+pub struct CrashSuspect {
     /// The task.
     pub task: TaskId,
     /// Its part.
-    pub part: Part,
+    pub role: CrashRole,
 }
 
 /// An order to start a run whose answer was lost.
@@ -254,7 +254,7 @@
             unrecorded: BTreeMap::new(),
             runs: BTreeMap::new(),
             used: Amount::default(),
-            strays: 0,
+            orphan_runs: 0,
             drained: false,
             cordoned: Tick(0),
             full: Tick(0),
@@ -265,7 +265,7 @@
             reborn: None,
             trial: None,
             lapsed: Vec::new(),
-            conduct: Conduct::default(),
+            failure_history: FailureHistory::default(),
             speed: Speed::new(now),
         }
     }
@@ -294,7 +294,8 @@
 
     fn hold_back(&mut self) {
         if let Some(unanswered) = self.unanswered {
-            self.conduct.suspended = self.conduct.suspended.max(unanswered + LATE_TIME);
+            self.failure_history.suspended =
+                self.failure_history.suspended.max(unanswered + LATE_TIME);
         }
     }
 
@@ -348,12 +349,12 @@
 
     /// Returns when every lease that was given here has surely lapsed; `None` before its clock was
     /// ever read, when none was given.
-    pub fn lapses(&self) -> Option<Tick> {
+    pub fn leases_expire_at(&self) -> Option<Tick> {
         self.sample.map(|sample| sample.surely_past(self.granted))
     }
 
     /// Notes that it may not be there any more: it gets nothing until it answers.
-    pub fn doubt(&mut self, now: Tick) {
+    pub fn mark_suspect(&mut self, now: Tick) {
         if !self.silent {
             self.silent_since = now;
         }
@@ -364,14 +365,14 @@
     }
 
     /// Tells whether nothing can run there any more: it does not answer, and every lease has lapsed.
-    pub fn is_spent(&self, now: Tick) -> bool {
-        let lapsed = self.lapses().is_none_or(|lapse| lapse <= now);
+    pub fn is_expired(&self, now: Tick) -> bool {
+        let lapsed = self.leases_expire_at().is_none_or(|lapse| lapse <= now);
         self.silent && lapsed && self.runs.is_empty()
     }
 
     /// Tells whether it has answered this owner that nothing runs there, and was given nothing since.
-    pub fn is_bare(&self) -> bool {
-        self.answered && !self.silent && self.runs.is_empty() && self.strays == 0
+    pub fn is_idle(&self) -> bool {
+        self.answered && !self.silent && self.runs.is_empty() && self.orphan_runs == 0
     }
 
     /// Tells whether it may get new tasks at all.
@@ -380,13 +381,13 @@
             && self.rostered
             && self.answered
             && !self.silent
-            && self.strays == 0
+            && self.orphan_runs == 0
             && self.trial.is_none()
             && !self.info.draining
             && !self.drained
             && self.cordoned <= now
             && self.full <= now
-            && self.conduct.suspended <= now
-            && (!self.conduct.probation || self.runs.is_empty())
+            && self.failure_history.suspended <= now
+            && (!self.failure_history.probation || self.runs.is_empty())
     }
 }
--- a/reachhead_jobs/tests/pool/rescue.rs
+++ b/reachhead_jobs/tests/pool/rescue.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use reachhead_jobs::{clock::Tick, pool::JobState, ports::RunEnd, rescue::Share, task::TaskId};
+use reachhead_jobs::{
+    clock::Tick, expiring_budget::ExpiringBudget, pool::JobState, ports::RunEnd, task::TaskId,
+};
 use reachhead_types::{
     id::{JobId, WorkerId},
     size::{Millis, RunNumber},
@@ -120,9 +122,9 @@
 
 #[test]
 fn the_share_of_late_jobs_ends_with_the_job_that_uses_it_up() {
-    let mut share = Share::new(16_000, 1000);
+    let mut share = ExpiringBudget::new(16_000, 1000);
     assert!(share.take(2500));
     assert!(share.take(9000), "a job wider than what is left is not left out");
     assert!(!share.take(100));
-    assert!(!Share::new(16_000, 4000).take(100));
+    assert!(!ExpiringBudget::new(16_000, 4000).take(100));
 }
