--- a/reachhead_bench/src/jobs/site.rs
+++ b/reachhead_bench/src/jobs/site.rs
@@ -92,7 +92,7 @@
         stretch: 1.6,
         target: Millis(600),
         advice: None,
-        open: true,
+        allows_anonymous: true,
     })
 }
 
@@ -171,7 +171,7 @@
         };
         let info = |id: &WorkerId| WorkerInfo {
             id: id.clone(),
-            born: None,
+            started_at: None,
             pool: pool_name(),
             address: std::net::SocketAddr::from(([127, 0, 0, 1], 1)),
             zone: reachhead_types::id::ZoneName::clone(&zone),
@@ -196,7 +196,7 @@
             estimate: Millis(900),
             long_running: true,
             spread: 1,
-            may_miss: 2,
+            max_unavailable: 2,
             ..Step::default()
         };
         self.submit(JobId(1), vec![step]);
@@ -307,10 +307,10 @@
             run: *run,
             checkpoint: None,
             percent: 100,
-            figure: 0,
+            metric: 0,
         });
         let report = WorkerReport {
-            born: None,
+            started_at: None,
             clock: WorkerTime(self.now.0),
             running: running.collect(),
             ended: worker.ended.clone(),
@@ -369,7 +369,7 @@
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
-        worker.seen = worker.seen.max(order.seen);
+        worker.seen = worker.seen.max(order.acknowledged);
         let seen = worker.seen;
         worker.ended.retain(|entry| entry.number > seen);
         if order.wait.0 == 0 || !worker.ended.is_empty() {
--- a/reachhead_jobs/src/authority.rs
+++ b/reachhead_jobs/src/authority.rs
@@ -44,7 +44,7 @@
 
 impl LeaseConfirmation {
     /// Notes the store's answer to a question that was sent at `asked`; tells whether the lease is in force.
-    pub fn note(
+    pub fn record(
         &mut self,
         asked: BootInstant,
         found: Option<Revision>,
@@ -73,9 +73,9 @@
     /// This process saw it change to that, and did not find it so when it started.
     pub observed: bool,
     /// The holder was this process, now or before a restart.
-    pub own: bool,
+    pub is_self: bool,
     /// When the holder last said that it does not hold the lease, if it did.
-    pub denied: Option<Tick>,
+    pub disclaimed_at: Option<Tick>,
 }
 
 impl PreviousHolder<'_> {
@@ -99,8 +99,9 @@
     /// Orders of the holder may leave until its last answer of the store is too old. One that gave the lease back has
     /// no order under way; one that answers without the lease, long after it took it, has ended or was started again.
     fn overlap_time(&self) -> Millis {
-        let ended = self.denied.is_some_and(|denied| denied.since(self.since) >= SETTLED_TIME);
-        if self.record.owner.is_none() || self.own || ended {
+        let ended =
+            self.disclaimed_at.is_some_and(|denied| denied.since(self.since) >= SETTLED_TIME);
+        if self.record.owner.is_none() || self.is_self || ended {
             return Millis(0);
         }
         with_drift(ORDER_WINDOW)
--- a/reachhead_jobs/src/balance/mod.rs
+++ b/reachhead_jobs/src/balance/mod.rs
@@ -129,14 +129,14 @@
     /// hosts that something else is done with.
     pub fn next(
         &mut self,
-        machines: &BTreeMap<HostId, PlatformHost>,
+        hosts: &BTreeMap<HostId, PlatformHost>,
         pools: &BTreeMap<PoolName, PoolState>,
         drained: &BTreeSet<ZoneName>,
         rate: f64,
         held: impl Fn(&HostId) -> bool,
         now: Tick,
     ) -> Vec<Move> {
-        self.remember(machines, now);
+        self.remember(hosts, now);
         let spare = pools.iter().find(|(_, state)| state.spare).map(|(name, _)| name.clone());
         let largest = pools.values().filter_map(|state| largest_worker(&state.load)).max();
         let mut accounts: Vec<Account> = pools
@@ -145,11 +145,11 @@
             .filter_map(|(name, state)| {
                 // A pool whose workers have not answered yet is taken to have such as the others have.
                 let size = largest_worker(&state.load).or(largest)?;
-                Some(self.account(name, state, size, machines, &held, now))
+                Some(self.account(name, state, size, hosts, &held, now))
             })
             .collect();
         let mut off: Vec<Move> = match &spare {
-            Some(spare) => parked(spare, machines, drained, &held),
+            Some(spare) => parked(spare, hosts, drained, &held),
             None => Vec::new(),
         };
         share_out(&mut accounts, off.len());
@@ -157,7 +157,7 @@
         let mut moves = Vec::new();
         self.fill(&mut accounts, &mut off, &mut moves);
         if let Some(spare) = spare {
-            let cost = restart_cost(machines.len(), rate);
+            let cost = restart_cost(hosts.len(), rate);
             moves.extend(self.scale_down.next(&accounts, &spare, cost, now));
         }
         moves
@@ -178,11 +178,11 @@
         &self.demands
     }
 
-    fn remember(&mut self, machines: &BTreeMap<HostId, PlatformHost>, now: Tick) {
-        for machine in machines.values() {
-            let known = self.place.insert(machine.host.clone(), machine.pool.clone());
-            if known.is_some_and(|known| known != machine.pool) {
-                self.arrived.insert(machine.host.clone(), now);
+    fn remember(&mut self, hosts: &BTreeMap<HostId, PlatformHost>, now: Tick) {
+        for host in hosts.values() {
+            let known = self.place.insert(host.host.clone(), host.pool.clone());
+            if known.is_some_and(|known| known != host.pool) {
+                self.arrived.insert(host.host.clone(), now);
             }
         }
     }
@@ -192,45 +192,44 @@
         pool: &PoolName,
         state: &PoolState,
         size: u64,
-        machines: &BTreeMap<HostId, PlatformHost>,
+        hosts: &BTreeMap<HostId, PlatformHost>,
         held: &impl Fn(&HostId) -> bool,
         now: Tick,
     ) -> Account {
-        let own = machines.values().filter(|machine| machine.pool == *pool);
-        let usable = own.filter(|machine| {
-            matches!(machine.state, PlatformHostState::Up | PlatformHostState::Moving)
-        });
+        let own = hosts.values().filter(|host| host.pool == *pool);
+        let usable = own
+            .filter(|host| matches!(host.state, PlatformHostState::Up | PlatformHostState::Moving));
         let loads: BTreeMap<&WorkerId, &WorkerLoad> =
             state.load.workers.iter().map(|load| (&load.worker, load)).collect();
         let mut have = 0;
         let mut free: Vec<Move> = Vec::new();
         let mut idle: Vec<Move> = Vec::new();
-        for machine in usable {
-            let load = machine.worker.as_ref().and_then(|worker| loads.get(worker).copied());
+        for host in usable {
+            let load = host.worker.as_ref().and_then(|worker| loads.get(worker).copied());
             if let Some(load) = load.filter(|load| load.drained) {
-                if load.used == 0 && !load.pinned && !held(&machine.host) {
-                    idle.push(leave(machine, pool));
+                if load.used == 0 && !load.pinned && !held(&host.host) {
+                    idle.push(leave(host, pool));
                 }
                 continue;
             }
-            let of_use = load.is_some() || machine.state != PlatformHostState::Up;
-            if of_use || state.load.unsettled || self.is_awaited(&machine.host, now) {
+            let of_use = load.is_some() || host.state != PlatformHostState::Up;
+            if of_use || state.load.unsettled || self.is_awaited(&host.host, now) {
                 have += 1;
             }
             if of_use {
-                self.absent.remove(&machine.host);
+                self.absent.remove(&host.host);
             }
             let fresh =
-                self.arrived.get(&machine.host).is_some_and(|since| now.since(*since) < STAY_TIME);
+                self.arrived.get(&host.host).is_some_and(|since| now.since(*since) < STAY_TIME);
             let Some(load) = load.filter(|load| !load.pinned) else {
                 continue;
             };
-            if machine.state != PlatformHostState::Up || fresh || held(&machine.host) {
+            if host.state != PlatformHostState::Up || fresh || held(&host.host) {
                 continue;
             }
             // A host with work on it is only given away whole, so those in use count as needed.
             if load.used == 0 {
-                free.push(leave(machine, pool));
+                free.push(leave(host, pool));
             }
         }
         free.sort_by(|a, b| a.host.cmp(&b.host));
@@ -269,10 +268,10 @@
 }
 
 /// Returns the step by which a host leaves its pool, whose end is not known yet.
-fn leave(machine: &PlatformHost, pool: &PoolName) -> Move {
+fn leave(host: &PlatformHost, pool: &PoolName) -> Move {
     Move {
-        host: machine.host.clone(),
-        worker: machine.worker.clone(),
+        host: host.host.clone(),
+        worker: host.worker.clone(),
         from: pool.clone(),
         to: pool.clone(),
     }
@@ -342,18 +341,18 @@
 /// Returns the hosts that are off and would be of use.
 fn parked(
     spare: &PoolName,
-    machines: &BTreeMap<HostId, PlatformHost>,
+    hosts: &BTreeMap<HostId, PlatformHost>,
     drained: &BTreeSet<ZoneName>,
     held: &impl Fn(&HostId) -> bool,
 ) -> Vec<Move> {
     let is_drained =
-        |machine: &PlatformHost| machine.zone.as_ref().is_some_and(|zone| drained.contains(zone));
-    machines
+        |host: &PlatformHost| host.zone.as_ref().is_some_and(|zone| drained.contains(zone));
+    hosts
         .values()
-        .filter(|machine| machine.pool == *spare && machine.state == PlatformHostState::Up)
-        .filter(|machine| !is_drained(machine) && !held(&machine.host))
-        .map(|machine| Move {
-            host: machine.host.clone(),
+        .filter(|host| host.pool == *spare && host.state == PlatformHostState::Up)
+        .filter(|host| !is_drained(host) && !held(&host.host))
+        .map(|host| Move {
+            host: host.host.clone(),
             worker: None,
             from: spare.clone(),
             to: spare.clone(),
--- a/reachhead_jobs/src/balance/scale_down.rs
+++ b/reachhead_jobs/src/balance/scale_down.rs
@@ -39,11 +39,14 @@
     /// The most hosts that it had until it was seen to have work.
     pub first: usize,
     /// Since when it has had work, in milliseconds since 1970.
-    pub begun: Option<Millis>,
+    #[serde(rename = "begun")]
+    pub active_since: Option<Millis>,
     /// The most hosts that its work filled lately.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub peak: usize,
     /// When that was, in milliseconds since 1970.
-    pub at: Millis,
+    #[serde(rename = "at")]
+    pub peak_at: Millis,
 }
 
 /// Both clocks of a process at one moment: ticks mean nothing to another process.
@@ -92,7 +95,12 @@
             let begun = used.begun.map(|begun| clock.wall_at(begun));
             Some((
                 pool.clone(),
-                PoolUsage { first: used.first, begun, most, at: clock.wall_at(at) },
+                PoolUsage {
+                    first: used.first,
+                    active_since: begun,
+                    peak: most,
+                    peak_at: clock.wall_at(at),
+                },
             ))
         });
         UsageRecord { pools: pools.collect() }
@@ -103,9 +111,9 @@
         for (pool, known) in &record.pools {
             let used = self.pools.entry(pool.clone()).or_default();
             used.first = used.first.max(known.first);
-            used.begun = known.begun.map(|begun| clock.tick_at(begun)).or(used.begun);
-            if used.highest.front().is_none_or(|(_, most)| *most < known.most) {
-                used.highest.push_front((clock.tick_at(known.at), known.most));
+            used.begun = known.active_since.map(|begun| clock.tick_at(begun)).or(used.begun);
+            if used.highest.front().is_none_or(|(_, most)| *most < known.peak) {
+                used.highest.push_front((clock.tick_at(known.peak_at), known.peak));
             }
         }
     }
--- a/reachhead_jobs/src/candidate.rs
+++ b/reachhead_jobs/src/candidate.rs
@@ -56,7 +56,7 @@
 
     /// Tells whether `other` would bear so much less with one more pool that this process should hand one
     /// over.
-    pub fn should_yield(&self, other: &Self) -> bool {
+    pub fn should_hand_over(&self, other: &Self) -> bool {
         let own = self.owned as u64 * u64::from(other.strength.0);
         own > RELIEF_FACTOR * other.burden_after(self)
     }
--- a/reachhead_jobs/src/clock.rs
+++ b/reachhead_jobs/src/clock.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockSample {
     /// What the worker's clock showed.
-    pub shown: WorkerTime,
+    pub worker_time: WorkerTime,
     /// When the answer that told it arrived here.
     pub at: Tick,
 }
@@ -70,12 +70,12 @@
 impl ClockSample {
     /// Returns what the worker's clock shows now, at least if it runs true.
     pub fn estimate(self, now: Tick) -> WorkerTime {
-        WorkerTime(self.shown.0 + now.since(self.at).0)
+        WorkerTime(self.worker_time.0 + now.since(self.at).0)
     }
 
     /// Returns a moment of this process's clock at which the worker's has surely passed `deadline`.
     pub fn surely_past(self, deadline: WorkerTime) -> Tick {
-        let left = deadline.0.saturating_sub(self.shown.0);
+        let left = deadline.0.saturating_sub(self.worker_time.0);
         self.at + with_drift(Millis(left)) + LAPSE_SLACK
     }
 }
--- a/reachhead_jobs/src/crashes.rs
+++ b/reachhead_jobs/src/crashes.rs
@@ -43,7 +43,7 @@
 
 impl Crashes {
     /// Notes a crash.
-    pub fn note(&mut self, role: CrashRole) {
+    pub fn record(&mut self, role: CrashRole) {
         self.total += 1;
         self.fresh += u32::from(role != CrashRole::Bystander);
         self.own += u32::from(role == CrashRole::Own);
--- a/reachhead_jobs/src/dead_workers.rs
+++ b/reachhead_jobs/src/dead_workers.rs
@@ -20,12 +20,11 @@
     pub worker: WorkerId,
 }
 
-/// Returns those that no host has; `machines` is a list that was read after their owners told of them.
+/// Returns those that no host has; `hosts` is a list that was read after their owners told of them.
 pub fn dead_workers<'a>(
     unreachable: &'a [UnreachableWorker],
-    machines: &BTreeMap<HostId, PlatformHost>,
+    hosts: &BTreeMap<HostId, PlatformHost>,
 ) -> impl Iterator<Item = &'a UnreachableWorker> {
-    let alive: BTreeSet<WorkerId> =
-        machines.values().filter_map(|machine| machine.worker.clone()).collect();
+    let alive: BTreeSet<WorkerId> = hosts.values().filter_map(|host| host.worker.clone()).collect();
     unreachable.iter().filter(move |unreachable| !alive.contains(&unreachable.worker))
 }
--- a/reachhead_jobs/src/job.rs
+++ b/reachhead_jobs/src/job.rs
@@ -41,27 +41,27 @@
     /// How far it has come.
     pub phase: Phase,
     /// When it was ordered, or adopted from a predecessor.
-    pub since: Tick,
+    pub ordered_at: Tick,
     /// When the worker confirmed that it is there, or that it can't come any more.
-    pub settled: Option<Tick>,
+    pub settled_at: Option<Tick>,
     /// The deadline that its orders carry; a repeated order must not extend it.
     pub deadline: WorkerTime,
     /// An order was not answered, so a copy may still be carried out.
-    pub doubtful: bool,
+    pub unconfirmed: bool,
     /// An order is under way.
-    pub asking: bool,
+    pub order_in_flight: bool,
     /// When the order is sent again.
-    pub retry: Tick,
+    pub retry_at: Tick,
     /// How much of it is done, in percent.
     pub percent: u32,
     /// When the percentage last rose.
-    pub moved: Tick,
+    pub progressed_at: Tick,
     /// When the worker last reported it, or it was ordered.
-    pub seen_at: Tick,
+    pub last_reported: Tick,
     /// The worker's newest figure; see [`crate::ports::RunningEntry::figure`].
-    pub figure: u64,
+    pub metric: u64,
     /// The share at which it is let work, in percent.
-    pub pace: u32,
+    pub pace_percent: u32,
     /// Why the worker may run it, where that is decided elsewhere.
     pub ticket: Option<String>,
     /// A predecessor ordered it.
@@ -71,7 +71,7 @@
 impl Run {
     /// Tells whether reports have shown that starting it has done no harm: it has progressed, or has been there for a while.
     pub fn has_worked(&self) -> bool {
-        self.percent > 0 || self.seen_at.since(self.since) >= STARTUP_TIME
+        self.percent > 0 || self.last_reported.since(self.ordered_at) >= STARTUP_TIME
     }
 
     /// Tells whether a task that runs on is at work.
@@ -92,7 +92,7 @@
     /// The workers that crashed under it.
     pub crashes: Crashes,
     /// How often it was stopped since it stood still.
-    pub stills: u32,
+    pub stalls: u32,
     /// The highest number that a run of it had.
     pub last_run: RunNumber,
     /// Its newest checkpoint.
@@ -125,7 +125,7 @@
     }
 
     /// Tells whether every task is done or has a run.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_placed(&self) -> bool {
         self.tasks.iter().all(|task| task.done || !task.runs.is_empty())
     }
 
@@ -136,7 +136,7 @@
 
     /// Returns how many tasks beside this one have no run at work that is `certain`; for steps that
     /// run on.
-    pub fn others_away(&self, index: u32, certain: impl Fn(&Run) -> bool) -> u32 {
+    pub fn missing_siblings(&self, index: u32, certain: impl Fn(&Run) -> bool) -> u32 {
         let works = |run: &Run| run.at_work() && certain(run);
         let others = (0..).zip(&self.tasks).filter(|(place, _)| *place != index);
         others.filter(|(_, task)| !task.runs.iter().any(works)).count() as u32
@@ -155,7 +155,7 @@
     /// Whose it is, if it came with a key.
     pub customer: Option<CustomerName>,
     /// Its customer had sent more than its weight when it came, so it waits for what others are owed.
-    pub beyond: bool,
+    pub over_share: bool,
     /// When it was accepted, on this process's clock.
     pub accepted: Tick,
     /// The revision of its row of progress, if it has one.
@@ -163,15 +163,15 @@
     /// The revision of its own row, if it is known.
     pub row: Option<Revision>,
     /// It was accepted before this owner took charge, so a predecessor may have started tasks.
-    pub inherited: bool,
+    pub recovered: bool,
     /// A task of it has been started.
-    pub begun: bool,
+    pub started: bool,
     /// How it ended; it lives on until that is recorded.
     pub ending: Option<Ending>,
     /// Its end is recorded, and it only waits for its runs to be gone.
     pub recorded: bool,
     /// Its progress changed since the last transaction about it was made.
-    pub changed: bool,
+    pub unsaved: bool,
     /// The steps of the occurrences that are due.
     pub steps: BTreeMap<StepId, StepState>,
     /// How many occurrences have become due.
@@ -186,15 +186,15 @@
             queue: Arc::clone(&record.queue),
             plan: Arc::clone(&record.plan),
             customer: record.customer.clone(),
-            beyond: false,
+            over_share: false,
             accepted,
             revision: None,
             row: None,
-            inherited: false,
-            begun: false,
+            recovered: false,
+            started: false,
             ending: None,
             recorded: false,
-            changed: false,
+            unsaved: false,
             steps: BTreeMap::new(),
             due: 0,
         }
@@ -207,7 +207,7 @@
 
     /// Makes the occurrences that are due by `wall` (milliseconds since 1970) part of the job, and
     /// returns when the next one is due.
-    pub fn unfold(&mut self, wall: Millis) -> Option<Millis> {
+    pub fn add_due_occurrences(&mut self, wall: Millis) -> Option<Millis> {
         let total = self.plan.occurrences();
         while self.due < total {
             if let Some(schedule) = self.plan.schedule {
@@ -252,7 +252,7 @@
     }
 
     /// Notes that a task is done, and tells whether that is news. A gang is done with any member.
-    pub fn finish(&mut self, id: TaskId) -> bool {
+    pub fn mark_done(&mut self, id: TaskId) -> bool {
         let gang = self.plan.steps.get(id.step as usize).is_some_and(|step| step.gang);
         let Some(step) = self.steps.get_mut(&id.step_id()) else {
             return false;
@@ -269,7 +269,7 @@
     }
 
     /// Notes that a run failed; tells whether that is news.
-    pub fn fail(&mut self, id: TaskId, run: RunNumber) -> bool {
+    pub fn record_failure(&mut self, id: TaskId, run: RunNumber) -> bool {
         match self.task(id) {
             Some(task) if !task.failed.contains(&run) => {
                 task.failed.push(run);
@@ -316,7 +316,7 @@
             if record.has_completed(id.step, id.occurrence) {
                 step.tasks.iter_mut().for_each(|task| task.done = true);
                 step.done = step.tasks.len() as u32;
-                self.begun = true;
+                self.started = true;
             }
         }
         for known in &record.steps {
@@ -340,7 +340,7 @@
                     task.crashes = crashed.crashes;
                 }
             }
-            self.begun = true;
+            self.started = true;
         }
     }
 }
--- a/reachhead_jobs/src/model.rs
+++ b/reachhead_jobs/src/model.rs
@@ -42,9 +42,11 @@
     /// Bound of the tail of the tasks' own response times; 0 if they serve nobody.
     pub target: Millis,
     /// The tasks use what the others leave: their processors don't count against the capacity.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub best_effort: bool,
     /// Tasks that planned work may take away at once; 0 where none is protected.
-    pub may_miss: u32,
+    #[serde(rename = "may_miss")]
+    pub max_unavailable: u32,
     /// The tasks save their progress.
     pub checkpoints: bool,
 }
@@ -52,11 +54,11 @@
 impl Step {
     /// Returns what a task takes of a worker's capacity.
     pub fn charge(&self) -> Amount {
-        if self.fills { Amount { cores: 0, ..self.need } } else { self.need }
+        if self.best_effort { Amount { cores: 0, ..self.need } } else { self.need }
     }
 
     /// Tells whether the tasks answer requests of their own users.
-    pub fn serves(&self) -> bool {
+    pub fn is_latency_sensitive(&self) -> bool {
         self.target.0 > 0
     }
 }
@@ -90,13 +92,13 @@
     }
 
     /// Tells whether the job runs until it is cancelled.
-    pub fn long_running(&self) -> bool {
+    pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
     /// Tells whether tasks of it use what others leave.
-    pub fn has_fills(&self) -> bool {
-        self.steps.iter().any(|step| step.fills)
+    pub fn has_best_effort(&self) -> bool {
+        self.steps.iter().any(|step| step.best_effort)
     }
 
     /// Returns the longest chain of the steps' times, as `time` gives them.
@@ -145,7 +147,8 @@
     pub advice: Option<AdvicePolicy>,
     /// Anybody may call it, without a key.
     #[serde(default)]
-    pub open: bool,
+    #[serde(rename = "open")]
+    pub allows_anonymous: bool,
 }
 
 /// What the configuration says of a pool.
@@ -154,7 +157,8 @@
     /// The pool's name.
     pub name: PoolName,
     /// Its workers reject what does not fit.
-    pub guards: bool,
+    #[serde(rename = "guards")]
+    pub rejects_overload: bool,
     /// Its hosts are off and cost nothing.
     pub spare: bool,
 }
--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -119,7 +119,7 @@
 
 impl DurationEstimator {
     /// Notes how long a task took.
-    pub fn learn(&mut self, queue: &RouteName, guess: Millis, real: Millis) {
+    pub fn observe_task(&mut self, queue: &RouteName, guess: Millis, real: Millis) {
         let durations = self.durations.entry(queue.clone()).or_insert_with(Durations::new);
         durations.learn(guess, real);
     }
@@ -156,10 +156,10 @@
 
     /// Returns the job's place in the order; the smallest comes first.
     pub fn rank(&self, job: &Job, now: Tick) -> Rank {
-        if job.plan.long_running() {
+        if job.plan.is_long_running() {
             let key = job.accepted.0 as f64;
             let priority = job.queue.priority;
-            return Rank { class: Class::LongRunning, beyond: false, priority, key };
+            return Rank { class: Class::LongRunning, over_share: false, priority, key };
         }
         let objective = self.objective(&job.queue, &job.plan);
         let left = self.left(job);
@@ -178,7 +178,7 @@
         // A job earns a part by its number and a part by its work; what is left decides the price.
         let worth = 0.3 + 0.7 * (left.whole / mean).min(4.0);
         let key = left.work.max(1.0) / worth;
-        Rank { class, beyond: job.beyond, priority: job.queue.priority, key }
+        Rank { class, over_share: job.over_share, priority: job.queue.priority, key }
     }
 
     fn left(&self, job: &Job) -> Left {
@@ -238,7 +238,7 @@
     /// What it can still get.
     pub class: Class,
     /// It is more than its customer is owed.
-    pub beyond: bool,
+    pub over_share: bool,
     /// The priority of its queue; 0 comes first.
     pub priority: u32,
     /// Work for each unit of worth.
@@ -247,9 +247,9 @@
 
 impl Rank {
     /// Compares two ranks; the smaller one comes first.
-    pub fn order(self, other: Self) -> std::cmp::Ordering {
+    pub fn compare(self, other: Self) -> std::cmp::Ordering {
         let lasts = |rank: Self| rank.class != Class::LongRunning;
-        let by_owed = lasts(self).cmp(&lasts(other)).then(self.beyond.cmp(&other.beyond));
+        let by_owed = lasts(self).cmp(&lasts(other)).then(self.over_share.cmp(&other.over_share));
         let by_priority = self.priority.cmp(&other.priority);
         by_owed
             .then(self.class.cmp(&other.class))
--- a/reachhead_jobs/src/place.rs
+++ b/reachhead_jobs/src/place.rs
@@ -19,9 +19,9 @@
 
 /// A task that needs a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct PlacementRequest<'a> {
     /// Its step.
-    pub id: StepId,
+    pub step_id: StepId,
     /// The task, if one is meant: a worker never has two runs of it.
     pub task: Option<TaskId>,
     /// The step's model.
@@ -32,12 +32,12 @@
     pub rack: Option<&'a Label>,
     /// Workers with tasks that run on, where the task is one too: their hosts can't leave the pool anyway, and each
     /// further one is a host that idles with its pool for as long as the task lasts.
-    pub lasting: Option<&'a BTreeSet<WorkerId>>,
+    pub long_running_workers: Option<&'a BTreeSet<WorkerId>>,
     /// The task may crash its worker, so it is tried where that does the least harm.
     pub trial: bool,
 }
 
-impl Wanted<'_> {
+impl PlacementRequest<'_> {
     /// Tells whether the worker may run the task, room aside.
     pub fn allowed(&self, worker: &Worker, now: Tick) -> bool {
         let labelled =
@@ -47,7 +47,8 @@
 
     /// Tells whether the task fits on the worker now.
     pub fn fits(&self, worker: &Worker, now: Tick) -> bool {
-        let kept = worker.reserved.is_some_and(|kept| kept.until > now && kept.step != self.id);
+        let kept =
+            worker.reserved.is_some_and(|kept| kept.until > now && kept.step != self.step_id);
         let twice = self.task.is_some_and(|task| worker.runs.contains_key(&task));
         !kept && !twice && self.allowed(worker, now) && self.step.charge().fits(worker.free())
     }
@@ -57,7 +58,7 @@
     }
 
     fn siblings(&self, worker: &Worker) -> u32 {
-        let siblings = worker.runs.keys().filter(|task| task.step_id() == self.id);
+        let siblings = worker.runs.keys().filter(|task| task.step_id() == self.step_id);
         siblings.count() as u32
     }
 
@@ -70,8 +71,10 @@
             far: far(self.step.rack.as_ref()) || far(self.rack),
             siblings: if self.step.long_running { self.siblings(worker) } else { 0 },
             young: self.trial && now.since(worker.joined) < YOUNG_TIME,
-            first_lasting: self.lasting.is_some_and(|lasting| !lasting.contains(&worker.info.id)),
-            room: if self.trial || self.step.serves() {
+            first_lasting: self
+                .long_running_workers
+                .is_some_and(|lasting| !lasting.contains(&worker.info.id)),
+            room: if self.trial || self.step.is_latency_sensitive() {
                 worker.used.cores
             } else {
                 worker.free().cores
@@ -102,8 +105,8 @@
 }
 
 /// Returns the worker that suits the task best among those on which it fits.
-pub fn choose<'a>(
-    wanted: &Wanted<'_>,
+pub fn choose_worker<'a>(
+    wanted: &PlacementRequest<'_>,
     workers: impl Iterator<Item = &'a Worker>,
     now: Tick,
 ) -> Option<&'a Worker> {
--- a/reachhead_jobs/src/pool/adopt.rs
+++ b/reachhead_jobs/src/pool/adopt.rs
@@ -15,11 +15,11 @@
     pub(super) fn inherit_job(&mut self, stored: StoredJob, now: Tick, wall: Millis) {
         let age = Millis(wall.0.saturating_sub(stored.record.accepted.0));
         self.estimator.observe_job(&stored.record.queue.name, &stored.record.plan);
-        self.fills |= stored.record.plan.has_fills();
+        self.fills |= stored.record.plan.has_best_effort();
         let mut job = Job::new(stored.id, &stored.record, now - age);
         job.row = Some(stored.row);
-        job.inherited = true;
-        job.unfold(wall);
+        job.recovered = true;
+        job.add_due_occurrences(wall);
         if let Some(progress) = stored.progress {
             job.restore(&progress.record);
             job.revision = Some(progress.revision);
@@ -40,7 +40,7 @@
             };
             let info = WorkerInfo {
                 id: entry.worker.clone(),
-                born: None,
+                started_at: None,
                 pool: self.name.clone(),
                 address: entry.address,
                 zone: unknown_zone(),
@@ -59,7 +59,7 @@
 
     /// Tells whether a task of the job that nobody reports may all the same be at work somewhere.
     pub(super) fn may_be_elsewhere(&self, job: &Job) -> bool {
-        job.inherited
+        job.recovered
             && self.pending.values().any(|pending| match (pending.closed, job.row) {
                 (Some(closed), Some(row)) => row <= closed,
                 _ => true,
@@ -91,26 +91,27 @@
             task.checkpoint = Some(checkpoint.clone());
         }
         let known = self.workers.get_mut(worker);
-        let deadline = known.as_ref().map_or(crate::clock::WorkerTime(0), |known| known.granted);
+        let deadline =
+            known.as_ref().map_or(crate::clock::WorkerTime(0), |known| known.max_deadline);
         task.runs.push(Run {
             number: entry.run,
             worker: worker.clone(),
             phase: Phase::Working,
-            since: now,
-            settled: Some(now),
+            ordered_at: now,
+            settled_at: Some(now),
             deadline,
-            doubtful: false,
-            asking: false,
-            retry: now,
+            unconfirmed: false,
+            order_in_flight: false,
+            retry_at: now,
             percent: entry.percent,
-            moved: now,
-            seen_at: now,
-            figure: entry.figure,
-            pace: 100,
+            progressed_at: now,
+            last_reported: now,
+            metric: entry.metric,
+            pace_percent: 100,
             ticket: None,
             adopted: true,
         });
-        job.begun = true;
+        job.started = true;
         if let Some(known) = known {
             known.charge(entry.task, entry.run, charge);
         }
--- a/reachhead_jobs/src/pool/callers.rs
+++ b/reachhead_jobs/src/pool/callers.rs
@@ -86,12 +86,12 @@
             return Some(JobState::Over(closed.ending));
         }
         let job = self.jobs.get(&id)?;
-        Some(if job.begun { JobState::Running } else { JobState::Queued })
+        Some(if job.started { JobState::Running } else { JobState::Queued })
     }
 
     /// Returns how many jobs of a queue wait for their first task.
     pub fn waiting(&self, queue: &RouteName) -> u32 {
-        let waits = |job: &&Job| job.queue.name == *queue && !job.begun && job.ending.is_none();
+        let waits = |job: &&Job| job.queue.name == *queue && !job.started && job.ending.is_none();
         self.jobs.values().filter(waits).count() as u32
     }
 }
--- a/reachhead_jobs/src/pool/crash.rs
+++ b/reachhead_jobs/src/pool/crash.rs
@@ -50,7 +50,7 @@
         };
         self.pending.remove(id);
         self.review = true;
-        self.over.insert(id.clone(), worker.born);
+        self.over.insert(id.clone(), worker.started_at);
         self.note(
             NoteKind::WorkerDoubted,
             format!("worker={id} over=true why=\"{end}\" runs={}", worker.runs.len()),
@@ -64,9 +64,9 @@
         }
         // A worker that crashed reports no ends, so its tasks would start again as if they had never been there. What planned work
         // ends, or a worker that only is out of reach, has not crashed by its tasks.
-        let planned = worker.info.draining || worker.cordoned > now;
+        let planned = worker.info.draining || worker.cordoned_until > now;
         if end != DeathEvidence::OffList && !planned {
-            for involved in involved.into_iter().chain(worker.lapsed) {
+            for involved in involved.into_iter().chain(worker.crash_suspects) {
                 self.blame_task(involved);
             }
         }
@@ -96,7 +96,7 @@
         let Some(task) = job.task(id).filter(|task| !task.done) else {
             return;
         };
-        task.crashes.note(role);
+        task.crashes.record(role);
         let Crashes { total, own, .. } = task.crashes;
         if task.crashes.is_conclusive() {
             self.note(NoteKind::TaskGivenUp, format!("task={id} crashes={total} own={own}"));
@@ -114,7 +114,7 @@
             job.and_then(|job| job.task(entry.task)).is_some_and(|task| task.crashes.is_late());
         let over = !late || entry.percent >= 100 || age >= LATE_TIME;
         if over && let Some(worker) = self.workers.get_mut(id) {
-            worker.clear(entry.task);
+            worker.end_trial(entry.task);
         }
     }
 
@@ -136,7 +136,7 @@
             "worker={} runs={} heard={}ms fresh={} tasks={}",
             worker.info.id,
             worker.runs.len(),
-            now.since(worker.heard),
+            now.since(worker.last_contact),
             fresh.len(),
             named.join(",")
         );
@@ -151,7 +151,7 @@
     }
 
     fn describe(&self, worker: &Worker, task: TaskId) -> String {
-        let age = self.run_on(worker, task).map(|run| worker.heard.since(run.since));
+        let age = self.run_on(worker, task).map(|run| worker.last_contact.since(run.ordered_at));
         format!("{task}@{}ms", age.unwrap_or_default())
     }
 
--- a/reachhead_jobs/src/pool/drain_worker.rs
+++ b/reachhead_jobs/src/pool/drain_worker.rs
@@ -5,7 +5,7 @@
 use crate::{
     clock::Tick,
     job::{Phase, Run},
-    place::Wanted,
+    place::PlacementRequest,
     pool::{Pool, StopReason},
     task::TaskId,
 };
@@ -57,7 +57,7 @@
             // One more host is asked for, and the worker is kept for tasks that must be at work.
             self.surge_until = now + SURGE_TIME;
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.cordoned = Tick(0);
+                worker.cordoned_until = Tick(0);
             }
             return DrainProgress::Protected;
         }
@@ -66,9 +66,9 @@
             self.cordons.insert(id.clone(), until);
             return if settled { DrainProgress::Unknown } else { DrainProgress::Protected };
         };
-        worker.cordoned = until;
+        worker.cordoned_until = until;
         // Ends that are not recorded are known to the worker alone if this owner is lost.
-        let recorded = worker.seen >= worker.noted;
+        let recorded = worker.acknowledged >= worker.last_processed;
         if worker.is_idle() && recorded {
             return DrainProgress::Empty;
         }
@@ -115,7 +115,7 @@
     fn is_needed(&self, id: &WorkerId, now: Tick) -> bool {
         let others = self.workers.values().filter(|other| other.info.id != *id);
         let alone = others.filter(|other| other.accepts(now)).count() == 0;
-        let has_lasting = self.jobs.values().any(|job| job.plan.long_running());
+        let has_lasting = self.jobs.values().any(|job| job.plan.is_long_running());
         if alone && has_lasting {
             return true;
         }
@@ -141,13 +141,13 @@
     fn has_place(&self, task: TaskId, now: Tick) -> bool {
         let job = &self.jobs[&task.job];
         let step = &job.plan.steps[task.step as usize];
-        let wanted = Wanted {
-            id: task.step_id(),
+        let wanted = PlacementRequest {
+            step_id: task.step_id(),
             task: Some(task),
             step,
             avoid: &[],
             rack: None,
-            lasting: None,
+            long_running_workers: None,
             trial: false,
         };
         self.workers.values().any(|worker| {
@@ -165,12 +165,12 @@
         // A report from before that may have a predecessor's run that the predecessor has stopped.
         let certain = |run: &Run| {
             let worker = self.workers.get(&run.worker).filter(|worker| !worker.silent);
-            let sample = worker.and_then(|worker| worker.sample);
+            let sample = worker.and_then(|worker| worker.clock);
             let since = quiet.filter(|_| run.adopted).unwrap_or_default();
             sample.is_some_and(|sample| sample.at >= since)
         };
-        let away = job.steps[&task.step_id()].others_away(task.index, certain);
-        step.may_miss == 0 || away < step.may_miss
+        let away = job.steps[&task.step_id()].missing_siblings(task.index, certain);
+        step.max_unavailable == 0 || away < step.max_unavailable
     }
 }
 
--- a/reachhead_jobs/src/pool/expiring.rs
+++ b/reachhead_jobs/src/pool/expiring.rs
@@ -23,7 +23,7 @@
             job.rank.class != Class::Expiring || share.take(self.waiting_cores(job.id))
         };
         let (mut first, after): (Vec<Ranked>, Vec<Ranked>) = ranked.into_iter().partition(fits);
-        let before = |job: &Ranked| !job.rank.beyond && job.rank.class <= Class::InTime;
+        let before = |job: &Ranked| !job.rank.over_share && job.rank.class <= Class::InTime;
         let place = first.partition_point(before);
         first.splice(place..place, after);
         first
@@ -36,7 +36,7 @@
 
     /// Returns what runs have of the workers that were begun too late for their jobs to be in time.
     fn late_cores(&self) -> u64 {
-        let short = self.jobs.values().filter(|job| !job.plan.long_running());
+        let short = self.jobs.values().filter(|job| !job.plan.is_long_running());
         short.map(|job| self.late_cores_of(job)).sum()
     }
 
@@ -46,7 +46,7 @@
             let step = job.step(*id);
             let time = self.estimator.predict(&job.queue.name, step);
             let runs = state.tasks.iter().flat_map(|task| &task.runs);
-            step.charge().cores * runs.filter(|run| run.since + time > limit).count() as u64
+            step.charge().cores * runs.filter(|run| run.ordered_at + time > limit).count() as u64
         };
         job.steps.iter().map(of_step).sum()
     }
--- a/reachhead_jobs/src/pool/flush.rs
+++ b/reachhead_jobs/src/pool/flush.rs
@@ -118,10 +118,10 @@
             }
             self.write_job(&mut batch, id, wall);
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.changed = false;
+                job.unsaved = false;
             }
             for worker in self.workers.values_mut() {
-                worker.write(id);
+                worker.mark_written(id);
             }
         }
         Some(batch)
@@ -165,9 +165,9 @@
     /// Lets the workers forget the ends of a job that are recorded.
     fn forget(&mut self, id: JobId, now: Tick) {
         for worker in self.workers.values_mut() {
-            let seen = worker.seen;
-            worker.record(id);
-            if worker.seen > seen
+            let seen = worker.acknowledged;
+            worker.mark_recorded(id);
+            if worker.acknowledged > seen
                 && let Poll::Due(due) = worker.poll
             {
                 worker.poll = Poll::Due(due.min(now));
@@ -182,7 +182,7 @@
         let Some(ending) = entry.ending else {
             job.revision = Some(revision);
             // What came in while the transaction was under way stays to be written.
-            if !job.changed {
+            if !job.unsaved {
                 self.dirty.remove(&entry.id);
             }
             self.forget(entry.id, now);
@@ -193,7 +193,7 @@
         // Ends that came in meanwhile change nothing any more.
         self.dirty.remove(&entry.id);
         for worker in self.workers.values_mut() {
-            worker.write(entry.id);
+            worker.mark_written(entry.id);
         }
         self.forget(entry.id, now);
         self.closed.insert(entry.id, Closed { ending, customer, at: now });
@@ -215,7 +215,7 @@
         for step in job.steps.values_mut() {
             for run in step.tasks.iter_mut().flat_map(|task| &mut task.runs) {
                 run.phase = crate::job::Phase::Stopping;
-                run.retry = Tick(0);
+                run.retry_at = Tick(0);
             }
         }
     }
--- a/reachhead_jobs/src/pool/load.rs
+++ b/reachhead_jobs/src/pool/load.rs
@@ -158,7 +158,7 @@
                         match class {
                             Class::Missed => {}
                             // It asks for hosts like late work: after what others are owed.
-                            _ if job.beyond => late = work.saturating_add(late),
+                            _ if job.over_share => late = work.saturating_add(late),
                             Class::Late | Class::Expiring => late = work.saturating_add(late),
                             Class::LongRunning | Class::InTime => {
                                 waiting = work.saturating_add(waiting)
@@ -189,7 +189,7 @@
             worker.listed
                 && worker.answered
                 && !worker.silent
-                && worker.failure_history.suspended <= now
+                && worker.failure_history.suspended_until <= now
         });
         usable
             .map(|worker| WorkerLoad {
@@ -203,7 +203,7 @@
     }
 
     fn deserted(&self) -> Vec<WorkerId> {
-        let workers = self.workers.values().filter(|worker| worker.deserted);
+        let workers = self.workers.values().filter(|worker| worker.port_closed);
         workers.map(|worker| worker.info.id.clone()).collect()
     }
 
--- a/reachhead_jobs/src/pool/mod.rs
+++ b/reachhead_jobs/src/pool/mod.rs
@@ -95,7 +95,7 @@
     /// not heard of its own predecessors by as long as it says.
     pub fn after_release(&self, record: &LeaseRecord) -> Millis {
         let leases = with_drift(self.hold);
-        match record.open {
+        match record.unsettled_for {
             _ if record.settled => leases,
             Some(open) => leases.max(open),
             None => self.takeover_delay(),
@@ -278,15 +278,15 @@
             return;
         }
         self.estimator.observe_job(&record.queue.name, &record.plan);
-        self.fills |= record.plan.has_fills();
-        if !record.plan.long_running() && self.may_use_hosts(record.customer.as_ref()) {
+        self.fills |= record.plan.has_best_effort();
+        if !record.plan.is_long_running() && self.may_use_hosts(record.customer.as_ref()) {
             self.arrivals.note(&record.queue.name, now);
         }
         let accepted = now - Millis(wall.0.saturating_sub(record.accepted.0));
         let mut job = Job::new(id, record, accepted);
         job.row = Some(row);
-        job.beyond = self.is_beyond_weight(record.customer.as_ref(), now);
-        job.unfold(wall);
+        job.over_share = self.is_beyond_weight(record.customer.as_ref(), now);
+        job.add_due_occurrences(wall);
         self.jobs.insert(id, job);
         self.claim_orphans(id, now);
     }
@@ -301,19 +301,19 @@
         }
         self.over.retain(|id, _| ids.contains(id));
         for info in listed {
-            if self.over.get(&info.id).is_some_and(|over| !is_newer(info.born, *over)) {
+            if self.over.get(&info.id).is_some_and(|over| !is_newer(info.started_at, *over)) {
                 continue;
             }
             self.over.remove(&info.id);
             match self.workers.get_mut(&info.id) {
                 // The list is behind the worker.
-                Some(worker) if is_newer(worker.born, info.born) => {}
+                Some(worker) if is_newer(worker.started_at, info.started_at) => {}
                 Some(worker) => {
-                    if is_newer(info.born, worker.born) {
+                    if is_newer(info.started_at, worker.started_at) {
                         worker.mark_suspect(now);
                     }
                     if worker.info.capacity != info.capacity {
-                        worker.full = Tick(0);
+                        worker.full_until = Tick(0);
                     }
                     worker.drained = self.drained.contains(&info.zone);
                     worker.info = info;
@@ -322,7 +322,7 @@
                     let mut worker = Worker::new(info, now);
                     worker.rostered = self.roster.is_open(&worker.info.id);
                     worker.drained = self.drained.contains(&worker.info.zone);
-                    worker.cordoned =
+                    worker.cordoned_until =
                         self.cordons.get(&worker.info.id).copied().unwrap_or_default();
                     self.workers.insert(worker.info.id.clone(), worker);
                 }
@@ -363,7 +363,7 @@
 
     fn unfold(&mut self, wall: Millis) {
         for job in self.jobs.values_mut() {
-            job.unfold(wall);
+            job.add_due_occurrences(wall);
         }
     }
 
@@ -384,7 +384,7 @@
     /// Notes that a job has something new to be recorded.
     fn mark(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.changed = true;
+            job.unsaved = true;
             self.dirty.insert(id);
         }
     }
--- a/reachhead_jobs/src/pool/orders.rs
+++ b/reachhead_jobs/src/pool/orders.rs
@@ -34,11 +34,11 @@
 
     fn hear(&mut self, id: &WorkerId, shown: WorkerTime, now: Tick) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.heard = now;
-            let newer = worker.sample.is_none_or(|sample| sample.shown < shown);
+            worker.last_contact = now;
+            let newer = worker.clock.is_none_or(|sample| sample.worker_time < shown);
             // An answer to an order does not tell of which life it is, and another's clock shows another time.
-            if newer && worker.born.is_none() {
-                worker.sample = Some(ClockSample { shown, at: now });
+            if newer && worker.started_at.is_none() {
+                worker.clock = Some(ClockSample { worker_time: shown, at: now });
             }
         }
     }
@@ -58,41 +58,41 @@
         let Some(run) = self.run_of(id, task, number) else {
             return;
         };
-        run.asking = false;
+        run.order_in_flight = false;
         // A run that was confirmed as ordered needs no other order; anything else may.
         let unexpected = result.is_err() || run.phase != Phase::Ordered;
         match result {
             Ok(_) => {
                 if run.phase == Phase::Ordered {
                     run.phase = Phase::Working;
-                    run.moved = now;
+                    run.progressed_at = now;
                 }
-                run.settled = run.settled.or(Some(now));
+                run.settled_at = run.settled_at.or(Some(now));
             }
             Err(WorkerError::Replaced) => self.worker_died(id, DeathEvidence::Replaced, now),
             Err(WorkerError::Broken(_)) => {
-                run.doubtful = true;
-                run.retry = now + ORDER_PAUSE;
+                run.unconfirmed = true;
+                run.retry_at = now + ORDER_PAUSE;
             }
             Err(WorkerError::Lost(_)) => {
-                run.doubtful = true;
-                run.retry = now + ORDER_PAUSE;
+                run.unconfirmed = true;
+                run.retry_at = now + ORDER_PAUSE;
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.lose(task, number, now);
+                    worker.record_lost_order(task, number, now);
                 }
             }
-            Err(WorkerError::Unreachable(_) | WorkerError::Deserted(_)) if run.doubtful => {
-                run.retry = now + ORDER_PAUSE
+            Err(WorkerError::Unreachable(_) | WorkerError::PortClosed(_)) if run.unconfirmed => {
+                run.retry_at = now + ORDER_PAUSE
             }
             Err(WorkerError::Rejected(Rejection::Fenced)) => {
-                run.retry = now + ORDER_PAUSE;
+                run.retry_at = now + ORDER_PAUSE;
                 self.actions.push(Action::Fenced);
             }
             // The run is barred there, or it ended: the next report tells.
-            Err(WorkerError::Rejected(Rejection::Old)) => run.settled = Some(now),
-            Err(WorkerError::Rejected(_)) if run.doubtful => {
+            Err(WorkerError::Rejected(Rejection::Old)) => run.settled_at = Some(now),
+            Err(WorkerError::Rejected(_)) if run.unconfirmed => {
                 run.phase = Phase::Stopping;
-                run.retry = now;
+                run.retry_at = now;
             }
             Err(error) => self.turned_away(id, task, number, &error, now),
         }
@@ -124,11 +124,11 @@
             }
             WorkerError::Rejected(Rejection::Room) => {
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.full = now + FULL_TIME;
+                    worker.full_until = now + FULL_TIME;
                 }
             }
             WorkerError::Rejected(Rejection::Ticket) => self.advice.refuse(task.step_id(), id),
-            WorkerError::Unreachable(_) | WorkerError::Deserted(_) => {
+            WorkerError::Unreachable(_) | WorkerError::PortClosed(_) => {
                 if let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.silent) {
                     worker.silent = true;
                     worker.silent_since = now;
@@ -153,7 +153,7 @@
         if matches!(result, Err(WorkerError::Lost(_)))
             && let Some(worker) = self.workers.get_mut(id)
         {
-            worker.miss_answer(now);
+            worker.record_unanswered(now);
         }
         self.review = true;
         if result == Err(WorkerError::Replaced) {
@@ -166,16 +166,16 @@
         let Some(run) = self.run_of(id, task, number) else {
             return;
         };
-        run.asking = false;
+        run.order_in_flight = false;
         match result {
             // Barred for good: once a report lacks it that was asked for later, it is gone. The first time
             // counts, since it is barred again while a poll waits.
             Ok(_) => {
-                run.settled = run.settled.or(Some(now));
-                run.doubtful = false;
-                run.retry = now + STOP_PAUSE;
+                run.settled_at = run.settled_at.or(Some(now));
+                run.unconfirmed = false;
+                run.retry_at = now + STOP_PAUSE;
             }
-            Err(_) => run.retry = now + ORDER_PAUSE,
+            Err(_) => run.retry_at = now + ORDER_PAUSE,
         }
     }
 }
--- a/reachhead_jobs/src/pool/pace.rs
+++ b/reachhead_jobs/src/pool/pace.rs
@@ -43,7 +43,7 @@
                 continue;
             };
             let step = &job.plan.steps[task.step as usize];
-            if !step.fills && !step.serves() {
+            if !step.best_effort && !step.is_latency_sensitive() {
                 continue;
             }
             let state = &job.steps[&task.step_id()].tasks[task.index as usize];
@@ -51,9 +51,9 @@
             let Some(run) = run.filter(|run| run.phase == Phase::Working) else {
                 continue;
             };
-            let serves = step.serves() && run.percent >= 100;
-            let tail = serves.then(|| run.figure as f64 / step.target.0 as f64);
-            found.push(Neighbour { task: *task, run: run.clone(), tail, fills: step.fills });
+            let serves = step.is_latency_sensitive() && run.percent >= 100;
+            let tail = serves.then(|| run.metric as f64 / step.target.0 as f64);
+            found.push(Neighbour { task: *task, run: run.clone(), tail, fills: step.best_effort });
         }
         found
     }
@@ -63,7 +63,7 @@
         let mut changes = Vec::new();
         let mut looked = Vec::new();
         for worker in self.workers.values() {
-            let fresh = worker.sample.is_some_and(|sample| sample.at > worker.paced);
+            let fresh = worker.clock.is_some_and(|sample| sample.at > worker.paced_at);
             if !fresh || worker.silent || !self.has_fills(worker) {
                 continue;
             }
@@ -71,8 +71,8 @@
             let neighbours = self.neighbours(worker);
             let worst = neighbours.iter().filter_map(|one| one.tail).fold(0.0, f64::max);
             for one in neighbours.iter().filter(|one| one.fills) {
-                let pace = next_pace(one.run.pace, worst);
-                if pace != one.run.pace {
+                let pace = next_pace(one.run.pace_percent, worst);
+                if pace != one.run.pace_percent {
                     let number = one.run.number;
                     changes.push(Action::Pace(self.target(worker), one.task, number, pace));
                 }
@@ -80,14 +80,14 @@
         }
         for id in looked {
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.paced = now;
+                worker.paced_at = now;
             }
         }
         for change in changes {
             if let Action::Pace(_, task, number, pace) = &change {
                 let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(*task));
                 if let Some(run) = state.and_then(|state| state.run(*number)) {
-                    run.pace = *pace;
+                    run.pace_percent = *pace;
                 }
             }
             self.actions.push(change);
@@ -98,7 +98,7 @@
     pub fn pace_failed(&mut self, task: TaskId, number: reachhead_types::size::RunNumber) {
         let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(task));
         if let Some(run) = state.and_then(|state| state.run(number)) {
-            run.pace = 99;
+            run.pace_percent = 99;
         }
     }
 }
--- a/reachhead_jobs/src/pool/polls.rs
+++ b/reachhead_jobs/src/pool/polls.rs
@@ -47,12 +47,12 @@
                 continue;
             }
             let deadline = worker
-                .sample
+                .clock
                 .filter(|_| trusted && !worker.silent)
                 .map(|sample| WorkerTime(sample.estimate(now).0 + hold.0));
             // One that has started again since must not forget ends that have the numbers of earlier ones.
-            let seen = if worker.silent { 0 } else { worker.seen };
-            let order = HoldOrder { deadline, seen, wait: self.wait_of(worker) };
+            let seen = if worker.silent { 0 } else { worker.acknowledged };
+            let order = HoldOrder { deadline, acknowledged: seen, wait: self.wait_of(worker) };
             actions.push(Action::Hold(self.target(worker), order));
         }
         for action in &actions {
@@ -60,7 +60,7 @@
                 && let Some(worker) = self.workers.get_mut(&target.id)
             {
                 worker.poll = Poll::InFlight;
-                worker.granted = worker.granted.max(order.deadline.unwrap_or_default());
+                worker.max_deadline = worker.max_deadline.max(order.deadline.unwrap_or_default());
             }
         }
         self.actions.append(&mut actions);
@@ -83,7 +83,7 @@
     fn has_short(&self, worker: &Worker) -> bool {
         let ends = |task: &TaskId| {
             let job = self.jobs.get(&task.job);
-            job.is_some_and(|job| !job.plan.long_running())
+            job.is_some_and(|job| !job.plan.is_long_running())
         };
         worker.runs.keys().any(ends)
     }
@@ -122,7 +122,7 @@
         let runs = worker.runs.clone();
         let lapsed = self.involved(worker);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.lapsed = lapsed;
+            worker.crash_suspects = lapsed;
         }
         self.note(NoteKind::RunLost, format!("worker={id} lapsed={}", runs.len()));
         for (task, charge) in runs {
@@ -136,7 +136,7 @@
         for job in self.jobs.values() {
             for (id, state) in &job.steps {
                 let step = job.step(*id);
-                let incomplete = step.gang && !state.is_whole();
+                let incomplete = step.gang && !state.is_fully_placed();
                 for (index, task) in state.tasks.iter().enumerate() {
                     for run in &task.runs {
                         let unwanted = if task.done && !step.gang {
@@ -145,7 +145,7 @@
                             incomplete.then_some(StopReason::Incomplete)
                         };
                         // One that stood still everywhere is no worker's fault, and no other place helps it.
-                        let left_alone = task.stills >= STILLS_MOST;
+                        let left_alone = task.stalls >= STILLS_MOST;
                         let decided = self.decide(job, step, run, unwanted, now).filter(|what| {
                             !(left_alone && matches!(what, What::Stop(StopReason::Still)))
                         });
@@ -179,12 +179,12 @@
             return Some(What::Drop);
         }
         match run.phase {
-            Phase::Ordered if run.asking || run.retry > now => None,
+            Phase::Ordered if run.order_in_flight || run.retry_at > now => None,
             // The order may still be carried out: it is barred and not repeated.
             Phase::Ordered if job.recorded => Some(What::Stop(StopReason::Unneeded)),
             Phase::Ordered if unwanted.is_some() => unwanted.map(What::Stop),
             // The worker has it, has barred it, or it is too late for it: the next report tells.
-            Phase::Ordered if run.settled.is_some() => None,
+            Phase::Ordered if run.settled_at.is_some() => None,
             // Repeated, the order could begin there long after the drain.
             Phase::Ordered if self.workers.get(&run.worker).is_some_and(|at| at.drained) => {
                 Some(What::Stop(StopReason::Drained))
@@ -192,7 +192,7 @@
             Phase::Ordered => {
                 let worker = self.workers.get(&run.worker)?;
                 let past =
-                    worker.sample.is_some_and(|sample| sample.surely_past(run.deadline) <= now);
+                    worker.clock.is_some_and(|sample| sample.surely_past(run.deadline) <= now);
                 // After its deadline it can't begin any more, but it may have begun before.
                 Some(if past { What::Settle } else { What::Repeat })
             }
@@ -202,13 +202,13 @@
                 Some(What::Stop(StopReason::Still))
             }
             Phase::Working => None,
-            Phase::Stopping if run.asking || run.retry > now => None,
+            Phase::Stopping if run.order_in_flight || run.retry_at > now => None,
             Phase::Stopping => Some(What::Order),
         }
     }
 
     fn stands_still(&self, job: &crate::job::Job, step: &Step, run: &Run, now: Tick) -> bool {
-        if step.gang || job.ending.is_some() || run.pace < 100 {
+        if step.gang || job.ending.is_some() || run.pace_percent < 100 {
             return false;
         }
         if step.long_running && run.percent >= 100 {
@@ -217,7 +217,7 @@
         let whole = self.estimator.predict(&job.queue.name, step);
         let limit = (whole.0 * STILL_FACTOR / 100).max(STILL_LEAST.0);
         let heard = self.workers.get(&run.worker).is_some_and(|worker| !worker.silent);
-        heard && now.since(run.moved) > Millis(limit)
+        heard && now.since(run.progressed_at) > Millis(limit)
     }
 
     fn carry_out(&mut self, decision: &Decision, now: Tick) {
@@ -232,7 +232,7 @@
             What::Settle => {
                 let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(*task));
                 if let Some(run) = state.and_then(|state| state.run(run.number)) {
-                    run.settled = Some(now);
+                    run.settled_at = Some(now);
                 }
             }
             What::Repeat => self.repeat(*task, run),
@@ -251,7 +251,7 @@
         };
         let checkpoint = state.checkpoint.clone();
         if let Some(run) = state.run(run.number) {
-            run.asking = true;
+            run.order_in_flight = true;
         }
         let Some(worker) = self.workers.get(&run.worker) else {
             return;
@@ -277,12 +277,12 @@
         if let Some(state) = state {
             // A task that stood still elsewhere before says nothing of this worker.
             if why == StopReason::Still
-                && state.stills == 0
+                && state.stalls == 0
                 && let Some(worker) = self.workers.get_mut(&run.worker)
             {
                 worker.failure_history.suspend(now);
             }
-            state.stills += u32::from(why == StopReason::Still);
+            state.stalls += u32::from(why == StopReason::Still);
             state.avoid.push(run.worker.clone());
             if let Some(run) = state.run(run.number) {
                 run.phase = Phase::Stopping;
@@ -294,7 +294,7 @@
     fn order_stop(&mut self, task: TaskId, run: &Run) {
         let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(task));
         if let Some(run) = state.and_then(|state| state.run(run.number)) {
-            run.asking = true;
+            run.order_in_flight = true;
             run.phase = Phase::Stopping;
         }
         if let Some(worker) = self.workers.get(&run.worker) {
--- a/reachhead_jobs/src/pool/quota.rs
+++ b/reachhead_jobs/src/pool/quota.rs
@@ -57,12 +57,12 @@
 
     /// Notes who keeps the ledger now, by the store's word.
     pub fn follow_ledger(&mut self, ledger: FencingToken, now: Tick) {
-        self.quotas.limits.follow(ledger, now);
+        self.quotas.limits.observe_ledger(ledger, now);
     }
 
     /// Takes in what the pool may have running for customers, and states what it has and could use.
     pub fn allot(&mut self, allotment: &Allotment) -> UsageReport {
-        self.quotas.limits.take(allotment, self.token);
+        self.quotas.limits.apply(allotment, self.token);
         let mut demand: BTreeMap<CustomerName, Demand> = BTreeMap::new();
         for (customer, used) in self.count_used() {
             demand.entry(customer).or_default().used = used;
--- a/reachhead_jobs/src/pool/rebirth.rs
+++ b/reachhead_jobs/src/pool/rebirth.rs
@@ -30,15 +30,15 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let known = worker.born;
+        let known = worker.started_at;
         let mut involved = self.involved(worker);
-        involved.extend(worker.lapsed.iter().copied());
+        involved.extend(worker.crash_suspects.iter().copied());
         let worker = worker.clone();
         if !worker.runs.is_empty() {
             self.note_crash(&worker, now);
         }
         let runs = worker.runs.clone();
-        let planned = worker.info.draining || worker.cordoned > now;
+        let planned = worker.info.draining || worker.cordoned_until > now;
         for (task, charge) in runs {
             let kept =
                 report.running.iter().any(|entry| entry.task == task && entry.run == charge.run);
@@ -48,21 +48,21 @@
         }
         self.bar_lost(id);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.born = report.born;
-            worker.noted = 0;
-            worker.seen = 0;
+            worker.started_at = report.started_at;
+            worker.last_processed = 0;
+            worker.acknowledged = 0;
             worker.unrecorded.clear();
             // The call that was answered had a deadline by the old clock, for which the longest lease is granted that there is.
-            worker.granted = WorkerTime(report.clock.0 + self.timeouts.grant.0);
+            worker.max_deadline = WorkerTime(report.clock.0 + self.timeouts.grant.0);
             worker.speed = Speed::new(now);
-            worker.begin_life(now);
+            worker.begin_incarnation(now);
         }
         self.review = true;
         self.note(
             NoteKind::WorkerDoubted,
             format!(
                 "worker={id} born={:?} before={known:?} why=\"it has started again\"",
-                report.born
+                report.started_at
             ),
         );
         if !planned {
@@ -79,9 +79,9 @@
         let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.answered) else {
             return;
         };
-        let age = report.born.map(|born| Millis((epoch.0 + now.0).saturating_sub(born.0)));
+        let age = report.started_at.map(|born| Millis((epoch.0 + now.0).saturating_sub(born.0)));
         if age.is_some_and(|age| age < YOUNG_TIME) {
-            worker.granted = worker.granted.max(WorkerTime(report.clock.0 + grant.0));
+            worker.max_deadline = worker.max_deadline.max(WorkerTime(report.clock.0 + grant.0));
         }
     }
 
@@ -93,7 +93,7 @@
         let over = |lost: &&LostOrder| {
             worker.runs.get(&lost.task).is_none_or(|charge| charge.run != lost.run)
         };
-        let lost: Vec<LostOrder> = worker.lost.iter().filter(over).copied().collect();
+        let lost: Vec<LostOrder> = worker.lost_orders.iter().filter(over).copied().collect();
         let target = self.target(worker);
         for LostOrder { task, run, .. } in lost {
             self.actions.push(Action::Stop(target.clone(), task, run));
@@ -104,12 +104,12 @@
     fn bar(&mut self, id: TaskId, worker: &WorkerId) -> bool {
         let task = self.jobs.get_mut(&id.job).and_then(|job| job.task(id));
         let run = task.and_then(|task| task.runs.iter_mut().find(|run| run.worker == *worker));
-        let Some(run) = run.filter(|run| run.settled.is_none() || run.doubtful) else {
+        let Some(run) = run.filter(|run| run.settled_at.is_none() || run.unconfirmed) else {
             return false;
         };
-        run.settled = None;
+        run.settled_at = None;
         run.phase = Phase::Stopping;
-        run.retry = Tick(0);
+        run.retry_at = Tick(0);
         true
     }
 }
--- a/reachhead_jobs/src/pool/reports.rs
+++ b/reachhead_jobs/src/pool/reports.rs
@@ -12,7 +12,7 @@
     ports::{EndedEntry, Rejection, RunEnd, RunningEntry, WorkerError, WorkerReport},
     record::Ending,
     task::TaskId,
-    worker::{Poll, Unrecorded},
+    worker::{Poll, UnrecordedEnd},
 };
 
 /// First pause after a call to a worker that failed, doubled up to [`RETRY_MOST`].
@@ -60,17 +60,17 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let pause = RETRY_FIRST.0 << worker.misses.min(8);
-        worker.misses += 1;
+        let pause = RETRY_FIRST.0 << worker.failed_calls.min(8);
+        worker.failed_calls += 1;
         worker.poll = Poll::Due(now + Millis(pause.min(RETRY_MOST.0)));
         let first = !worker.silent;
         if first {
             worker.silent_since = now;
         }
         worker.silent = true;
-        worker.deserted = matches!(error, WorkerError::Deserted(_));
+        worker.port_closed = matches!(error, WorkerError::PortClosed(_));
         if matches!(error, WorkerError::Lost(_)) {
-            worker.miss_answer(now);
+            worker.record_unanswered(now);
         }
         if first {
             let text = format!("worker={id} runs={} error=\"{error}\"", worker.runs.len());
@@ -86,28 +86,28 @@
             }
             return;
         };
-        if is_newer(worker.born, report.born) {
+        if is_newer(worker.started_at, report.started_at) {
             // The answer of a life that is over came late. What it lists was never acknowledged, and counts as lost with it.
             worker.poll = Poll::Due(now);
             return;
         }
-        if is_newer(report.born, worker.born) {
+        if is_newer(report.started_at, worker.started_at) {
             self.begin_life(id, &report, now);
         } else {
-            worker.born = report.born.or(worker.born);
+            worker.started_at = report.started_at.or(worker.started_at);
             self.meet(id, &report, now);
         }
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.sample = Some(ClockSample { shown: report.clock, at: now });
+        worker.clock = Some(ClockSample { worker_time: report.clock, at: now });
         worker.silent = false;
-        worker.deserted = false;
+        worker.port_closed = false;
         worker.answered = true;
-        worker.heard = now;
-        worker.misses = 0;
-        worker.lapsed.clear();
-        let noted = worker.noted;
+        worker.last_contact = now;
+        worker.failed_calls = 0;
+        worker.crash_suspects.clear();
+        let noted = worker.last_processed;
         self.pending.remove(id);
         for entry in &report.ended {
             if entry.number > noted {
@@ -123,9 +123,10 @@
             return;
         };
         let last = report.ended.iter().map(|entry| entry.number).max().unwrap_or(0);
-        worker.noted = worker.noted.max(last);
-        worker.settle_seen();
-        let pause = if worker.seen < worker.noted { RECORD_PAUSE } else { Millis(0) };
+        worker.last_processed = worker.last_processed.max(last);
+        worker.advance_acknowledged();
+        let pause =
+            if worker.acknowledged < worker.last_processed { RECORD_PAUSE } else { Millis(0) };
         worker.poll = Poll::Due(now + pause);
     }
 
@@ -156,7 +157,7 @@
         let Some(run) = run.filter(|run| run.phase == Phase::Working) else {
             return;
         };
-        let span = now.since(run.seen_at).0 as f64;
+        let span = now.since(run.last_reported).0 as f64;
         if step.long_running || step.gang || span < GAUGE_SPAN.0 as f64 {
             return;
         }
@@ -178,18 +179,18 @@
         };
         if run.phase == Phase::Ordered {
             run.phase = Phase::Working;
-            run.settled = Some(now);
-            run.moved = now;
+            run.settled_at = Some(now);
+            run.progressed_at = now;
         }
         if entry.percent != run.percent {
             run.percent = entry.percent;
-            run.moved = now;
+            run.progressed_at = now;
         }
-        run.seen_at = now;
-        run.figure = entry.figure;
+        run.last_reported = now;
+        run.metric = entry.metric;
         let worked = run.has_worked();
-        let age = now.since(run.since);
-        let settled = run.at_work() && now.since(run.moved) >= FORGIVE_TIME;
+        let age = now.since(run.ordered_at);
+        let settled = run.at_work() && now.since(run.progressed_at) >= FORGIVE_TIME;
         if worked {
             self.clear_trial(id, entry, age);
         }
@@ -232,7 +233,8 @@
         for entry in gone {
             let job = self.jobs.get_mut(&entry.task.job);
             let run = job.and_then(|job| job.task(entry.task)).and_then(|task| task.run(entry.run));
-            let settled = run.is_none_or(|run| run.settled.is_some_and(|settled| settled < sent));
+            let settled =
+                run.is_none_or(|run| run.settled_at.is_some_and(|settled| settled < sent));
             if settled {
                 self.note(
                     NoteKind::RunLost,
@@ -281,15 +283,15 @@
         match entry.end {
             RunEnd::Done => {
                 let queue = job.queue.name.clone();
-                if job.finish(entry.task) {
-                    job.begun = true;
+                if job.mark_done(entry.task) {
+                    job.started = true;
                     self.mark_end(id, entry);
                 }
                 if let Some(run) = run.filter(|run| !run.adopted && run.ticket.is_none()) {
-                    self.estimator.learn(&queue, step.estimate, now.since(run.since));
+                    self.estimator.observe_task(&queue, step.estimate, now.since(run.ordered_at));
                 }
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.failure_history.succeed();
+                    worker.failure_history.record_success();
                 }
             }
             RunEnd::Failed => {
@@ -297,8 +299,8 @@
                 if let Some(task) = job.task(entry.task) {
                     task.avoid.push(id.clone());
                 }
-                if job.fail(counted, entry.run) {
-                    job.begun = true;
+                if job.record_failure(counted, entry.run) {
+                    job.started = true;
                     self.mark_end(id, entry);
                 }
                 self.blame(id, entry, now);
@@ -321,7 +323,7 @@
             return;
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            let end = Unrecorded { job: entry.task.job, written: false };
+            let end = UnrecordedEnd { job: entry.task.job, written: false };
             worker.unrecorded.insert(entry.number, end);
         }
         self.orphans.push(Orphan { worker: id.clone(), entry: entry.clone(), since: now });
@@ -350,8 +352,8 @@
                 format!("task={} worker={} end=unknown-job", orphan.entry.task, orphan.worker),
             );
             if let Some(worker) = self.workers.get_mut(&orphan.worker) {
-                worker.write(job);
-                worker.record(job);
+                worker.mark_written(job);
+                worker.mark_recorded(job);
             }
         }
     }
@@ -363,7 +365,7 @@
         }
         self.mark(entry.task.job);
         if let Some(worker) = self.workers.get_mut(id) {
-            let end = Unrecorded { job: entry.task.job, written: false };
+            let end = UnrecordedEnd { job: entry.task.job, written: false };
             worker.unrecorded.insert(entry.number, end);
         }
     }
@@ -376,7 +378,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.failure_history.fail(entry.task.job, now) {
+        if worker.failure_history.record_failure(entry.task.job, now) {
             self.note(NoteKind::WorkerDoubted, format!("worker={id} suspended=true"));
         }
     }
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -17,7 +17,7 @@
     job::{Job, Phase, Run, Task},
     model::Step,
     order::{Class, Rank},
-    place::{self, Wanted},
+    place::{self, PlacementRequest},
     pool::{Action, NoteKind, Pool, RUNS_PER_TERM, StopReason},
     ports::StartOrder,
     task::{StepId, TaskId},
@@ -59,7 +59,7 @@
             .filter(|job| !self.may_be_elsewhere(job))
             .map(|job| Ranked { id: job.id, rank: self.estimator.rank(job, now) })
             .collect();
-        ranked.sort_by(|a, b| a.rank.order(b.rank).then(a.id.cmp(&b.id)));
+        ranked.sort_by(|a, b| a.rank.compare(b.rank).then(a.id.cmp(&b.id)));
         let ranked = self.bound_expiring(ranked, now);
         let mut failed = 0;
         let mut room = self.largest_room(now);
@@ -222,7 +222,7 @@
         };
         let job = &self.jobs[&id.job];
         let usual = self.estimator.predict(&job.queue.name, job.step(id));
-        let overdue = now.since(run.since) > usual;
+        let overdue = now.since(run.ordered_at) > usual;
         // A second worker must not crash before it is known whether the first one has.
         !task.done
             && task.crashes.is_empty()
@@ -240,13 +240,13 @@
         let rack = if step.same_rack { self.rack_of(&state.tasks) } else { None };
         let lasting = step.long_running.then(|| self.lasting_workers());
         let trial = state.tasks[id.index as usize].crashes.is_suspect();
-        let wanted = Wanted {
-            id: id.step_id(),
+        let wanted = PlacementRequest {
+            step_id: id.step_id(),
             task: Some(id),
             step,
             avoid: &state.tasks[id.index as usize].avoid,
             rack: rack.as_ref(),
-            lasting: lasting.as_ref(),
+            long_running_workers: lasting.as_ref(),
             trial,
         };
         let workers = self
@@ -254,20 +254,20 @@
             .values()
             .filter(|worker| allowed.is_none_or(|allowed| allowed.contains(&worker.info.id)))
             .filter(|worker| !trial || self.fresh_on(worker).is_empty());
-        place::choose(&wanted, workers, now).map(|worker| worker.info.id.clone())
+        place::choose_worker(&wanted, workers, now).map(|worker| worker.info.id.clone())
     }
 
     /// Tells whether a task that may crash its worker has room, and only waits for a worker on which nothing else is just
     /// being started.
     fn waits_for_trial(&self, id: TaskId, step: &Step, now: Tick) -> bool {
         let state = &self.jobs[&id.job].steps[&id.step_id()];
-        let wanted = Wanted {
-            id: id.step_id(),
+        let wanted = PlacementRequest {
+            step_id: id.step_id(),
             task: Some(id),
             step,
             avoid: &[],
             rack: None,
-            lasting: None,
+            long_running_workers: None,
             trial: false,
         };
         let suspect = state.tasks[id.index as usize].crashes.is_suspect();
@@ -276,7 +276,7 @@
 
     /// Returns the workers with tasks that run on.
     fn lasting_workers(&self) -> BTreeSet<WorkerId> {
-        let lasting = self.jobs.values().filter(|job| job.plan.long_running());
+        let lasting = self.jobs.values().filter(|job| job.plan.is_long_running());
         let tasks = lasting.flat_map(|job| job.steps.values()).flat_map(|step| &step.tasks);
         tasks.flat_map(|task| &task.runs).map(|run| run.worker.clone()).collect()
     }
@@ -296,18 +296,18 @@
         let Some(known) = self.workers.get_mut(&worker) else {
             return;
         };
-        let Some(sample) = known.sample else {
+        let Some(sample) = known.clock else {
             return;
         };
         let deadline = WorkerTime(sample.estimate(now).0 + hold.0);
-        known.granted = known.granted.max(deadline);
+        known.max_deadline = known.max_deadline.max(deadline);
         known.charge(id, number, step.charge());
         self.charge_quota(id.job, step.need);
         let ticket = self.advice.ticket(id.step_id(), &worker, now).cloned();
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
-        job.begun = true;
+        job.started = true;
         let payload = Arc::clone(&job.plan.payload);
         let Some(task) = job.task(id) else {
             return;
@@ -319,17 +319,17 @@
             number,
             worker: worker.clone(),
             phase: Phase::Ordered,
-            since: now,
-            settled: None,
+            ordered_at: now,
+            settled_at: None,
             deadline,
-            doubtful: false,
-            asking: true,
-            retry: now,
+            unconfirmed: false,
+            order_in_flight: true,
+            retry_at: now,
             percent: 0,
-            moved: now,
-            seen_at: now,
-            figure: 0,
-            pace: 100,
+            progressed_at: now,
+            last_reported: now,
+            metric: 0,
+            pace_percent: 100,
             ticket: ticket.clone(),
             adopted: checkpoint.is_some(),
         });
@@ -351,8 +351,15 @@
         if self.workers.values().any(reserved) {
             return;
         }
-        let wanted =
-            Wanted { id, task: None, step, avoid: &[], rack: None, lasting: None, trial: false };
+        let wanted = PlacementRequest {
+            step_id: id,
+            task: None,
+            step,
+            avoid: &[],
+            rack: None,
+            long_running_workers: None,
+            trial: false,
+        };
         let usable = self.workers.values().filter(|worker| {
             worker.reserved.is_none_or(|kept| kept.until <= now) && wanted.allowed(worker, now)
         });
@@ -389,7 +396,7 @@
             if let Some(run) = run.filter(|run| run.phase == Phase::Working)
                 && !own.long_running
             {
-                short.push(Short { since: run.since, task: *task });
+                short.push(Short { since: run.ordered_at, task: *task });
             }
         }
         short.sort_by_key(|short| Reverse((short.since, short.task)));
--- a/reachhead_jobs/src/ports/worker.rs
+++ b/reachhead_jobs/src/ports/worker.rs
@@ -19,7 +19,8 @@
     /// The worker; it may start again under the id that it had.
     pub id: WorkerId,
     /// When this life of it began, in milliseconds since 1970, if it says so.
-    pub born: Option<Millis>,
+    #[serde(rename = "born")]
+    pub started_at: Option<Millis>,
     /// The pool that it belongs to.
     pub pool: PoolName,
     /// Where it answers.
@@ -63,7 +64,7 @@
     Unreachable(String),
     /// The worker's host answers that nobody listens there, so nothing was done.
     #[error("nobody there: {0}")]
-    Deserted(String),
+    PortClosed(String),
     /// There is no answer; the call may have been carried out, or still may be.
     #[error("no answer: {0}")]
     Lost(String),
@@ -125,7 +126,7 @@
     pub percent: u32,
     /// For a task that serves users, the tail of its response times in milliseconds; for any other
     /// the thousandths of a core that it used lately.
-    pub figure: u64,
+    pub metric: u64,
 }
 
 /// A run that ended.
@@ -147,7 +148,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
     /// When this life of it began, in milliseconds since 1970, if it says so.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// What its clock showed.
     pub clock: WorkerTime,
     /// What works there.
@@ -162,7 +163,7 @@
     /// Until when everything on the worker is held, on its clock; `None` while that isn't known.
     pub deadline: Option<WorkerTime>,
     /// Ends up to this number are recorded, and the worker may forget them.
-    pub seen: u64,
+    pub acknowledged: u64,
     /// How long the worker may wait for an end before it answers.
     pub wait: Millis,
 }
--- a/reachhead_jobs/src/progress.rs
+++ b/reachhead_jobs/src/progress.rs
@@ -119,7 +119,7 @@
 
 /// Occurrences in a row in which all tasks of a step are done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CompleteSteps {
+pub struct CompletedSteps {
     /// The step's place in the job.
     pub step: u32,
     /// The first of the occurrences.
@@ -135,13 +135,13 @@
     pub steps: Vec<StepRecord>,
     /// Steps that are done; an earlier release listed their tasks.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub complete: Vec<CompleteSteps>,
+    pub complete: Vec<CompletedSteps>,
 }
 
 impl ProgressRecord {
     /// Tells whether all tasks of a step are done in an occurrence.
     pub fn has_completed(&self, step: u32, occurrence: u32) -> bool {
-        let covers = |complete: &CompleteSteps| {
+        let covers = |complete: &CompletedSteps| {
             complete.step == step && (complete.first..=complete.last).contains(&occurrence)
         };
         self.complete.iter().any(covers)
@@ -152,7 +152,7 @@
         let last = self.complete.iter_mut().rev().find(|complete| complete.step == step);
         match last {
             Some(complete) if complete.last + 1 == occurrence => complete.last = occurrence,
-            _ => self.complete.push(CompleteSteps { step, first: occurrence, last: occurrence }),
+            _ => self.complete.push(CompletedSteps { step, first: occurrence, last: occurrence }),
         }
     }
 }
--- a/reachhead_jobs/src/quota/allowance.rs
+++ b/reachhead_jobs/src/quota/allowance.rs
@@ -86,7 +86,7 @@
     }
 
     /// Takes in limits, unless they are for another owner or older than what is known.
-    pub fn take(&mut self, allotment: &Allotment, owner: FencingToken) {
+    pub fn apply(&mut self, allotment: &Allotment, owner: FencingToken) {
         let newer = (allotment.ledger, allotment.round) > (self.ledger, self.round);
         let replaced = self.heir.is_some_and(|heir| heir.ledger > allotment.ledger);
         if !newer || replaced {
@@ -104,7 +104,7 @@
 
     /// Notes whose ledger counts by the store's word. Limits of an earlier one are kept for a while, as the new ledger asks
     /// for them; one that can't reach this owner has to know when they are void.
-    pub fn follow(&mut self, ledger: FencingToken, now: Tick) {
+    pub fn observe_ledger(&mut self, ledger: FencingToken, now: Tick) {
         if ledger > self.ledger {
             let heir = self.heir.get_or_insert(Heir { ledger, since: now });
             heir.ledger = heir.ledger.max(ledger);
@@ -156,7 +156,7 @@
         }
         let told = std::mem::replace(&mut self.told, report.customers.clone());
         let answered = std::mem::replace(&mut self.answered, message);
-        if allotment.owner == Some(owner) && answered == (allotment.ledger, allotment.heard) {
+        if allotment.owner == Some(owner) && answered == (allotment.ledger, allotment.last_report) {
             report.whole = false;
             report.customers.retain(|name, usage| told.get(name) != Some(usage));
             let gone = told.into_keys().filter(|name| !self.told.contains_key(name));
--- a/reachhead_jobs/src/quota/ledger.rs
+++ b/reachhead_jobs/src/quota/ledger.rs
@@ -49,7 +49,7 @@
         let held = self.stated.iter().map(|(name, usage)| (name.clone(), usage.held()));
         self.held = held.collect();
         let is_short =
-            |name: &CustomerName| self.stated.get(name).is_some_and(CustomerUsage::is_short);
+            |name: &CustomerName| self.stated.get(name).is_some_and(CustomerUsage::is_throttled);
         self.short.retain(|name, _| is_short(name));
         for name in self.stated.keys().filter(|name| is_short(name)) {
             self.short.entry(name.clone()).or_insert(now);
@@ -88,12 +88,12 @@
     }
 
     /// Tells whether the next round should come soon: limits are on their way up or down, or an owner has not answered yet.
-    pub fn is_moving(&self) -> bool {
+    pub fn is_converging(&self) -> bool {
         self.changed || self.books.values().any(|book| book.owner.is_none())
     }
 
     /// Tells whether a customer's tasks wait for room in its quota.
-    pub fn is_short(&self) -> bool {
+    pub fn is_throttled(&self) -> bool {
         self.books.values().any(|book| !book.short.is_empty())
     }
 
@@ -121,13 +121,13 @@
             round: self.round,
             owner: self.books[pool].owner,
             limits: limits.get(pool).cloned().unwrap_or_default(),
-            heard: self.books[pool].heard,
+            last_report: self.books[pool].heard,
         };
         pools.into_iter().map(|pool| (pool.clone(), message(pool))).collect()
     }
 
     /// Takes in what the owner of a pool answered to `sent`; tells whether the pool has a new owner, which has no limits yet.
-    pub fn stated(
+    pub fn process_report(
         &mut self,
         pool: &PoolName,
         sent: &Allotment,
--- a/reachhead_jobs/src/quota/mod.rs
+++ b/reachhead_jobs/src/quota/mod.rs
@@ -35,7 +35,8 @@
     /// The limits that change.
     pub limits: BTreeMap<CustomerName, Amount>,
     /// The round of the newest statement of this owner that the ledger has; only what changed since has to be told.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub last_report: u64,
 }
 
 /// What the owner of a pool answers to an [`Allotment`].
@@ -69,7 +70,7 @@
     }
 
     /// Tells whether a task waits for which the limit leaves no room.
-    pub fn is_short(&self) -> bool {
+    pub fn is_throttled(&self) -> bool {
         self.next != Amount::default() && !self.used.plus(self.next).fits(self.limit)
     }
 }
--- a/reachhead_jobs/src/record.rs
+++ b/reachhead_jobs/src/record.rs
@@ -78,7 +78,7 @@
 }
 
 /// Returns the key of what the owner of all hosts leaves to its successor about the pools' use of their hosts.
-pub fn use_key(hosts: &PoolName) -> Key {
+pub fn usage_key(hosts: &PoolName) -> Key {
     Key(format!("balance/{hosts}/use"))
 }
 
@@ -178,7 +178,8 @@
     /// Where it was given back otherwise: for how long what an earlier owner started may still be at work on a worker that has not
     /// answered. A successor of one that did not say waits for as long as for an owner that may be alive.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub open: Option<Millis>,
+    #[serde(rename = "open")]
+    pub unsettled_for: Option<Millis>,
 }
 
 /// The newest owner that has fenced a part of the store.
--- a/reachhead_jobs/src/relay.rs
+++ b/reachhead_jobs/src/relay.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the whole table.
-    pub fn whole(&self) -> FeedPage {
+    pub fn snapshot(&self) -> FeedPage {
         FeedPage { changes: self.rows.values().cloned().collect(), revision: self.revision }
     }
 }
--- a/reachhead_jobs/src/wave.rs
+++ b/reachhead_jobs/src/wave.rs
@@ -36,7 +36,8 @@
     /// In which time it should be done.
     pub within: Millis,
     /// Hosts that may be down for it at once.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_down: u32,
 }
 
 /// What the store keeps of a wave.
@@ -69,9 +70,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WaveStep {
     /// Hosts to go on emptying.
-    pub vacate: Vec<HostId>,
+    pub to_drain: Vec<HostId>,
     /// Hosts that the platform no longer has.
-    pub gone: Vec<HostId>,
+    pub missing: Vec<HostId>,
 }
 
 /// How long a host is counted as down after its order, whatever the list says: the list may be
@@ -102,16 +103,15 @@
     }
 
     /// Tells whether the host is being emptied for its maintenance.
-    pub fn is_emptying(&self, host: &HostId) -> bool {
+    pub fn is_draining(&self, host: &HostId) -> bool {
         self.emptying.contains_key(host)
     }
 
     /// Returns what to do next, by the platform's list of hosts.
-    pub fn next(&mut self, machines: &BTreeMap<HostId, PlatformHost>, now: Tick) -> WaveStep {
+    pub fn next(&mut self, hosts: &BTreeMap<HostId, PlatformHost>, now: Tick) -> WaveStep {
         let mut step = WaveStep::default();
         self.down.retain(|host, since| {
-            let up =
-                machines.get(host).is_none_or(|machine| machine.state == PlatformHostState::Up);
+            let up = hosts.get(host).is_none_or(|host| host.state == PlatformHostState::Up);
             !up || now.since(*since) < DOWN_LEAST
         });
         let left: Vec<HostId> = self
@@ -122,34 +122,32 @@
             .cloned()
             .collect();
         for host in &left {
-            if !machines.contains_key(host) {
-                step.gone.push(host.clone());
+            if !hosts.contains_key(host) {
+                step.missing.push(host.clone());
             }
         }
-        let under = self.under_maintenance(machines);
-        let room = (self.order.most as usize + AHEAD).saturating_sub(under);
+        let under = self.under_maintenance(hosts);
+        let room = (self.order.max_down as usize + AHEAD).saturating_sub(under);
         let mut ready: Vec<&PlatformHost> = left
             .iter()
-            .filter_map(|host| machines.get(host))
-            .filter(|machine| machine.state == PlatformHostState::Up)
+            .filter_map(|host| hosts.get(host))
+            .filter(|host| host.state == PlatformHostState::Up)
             .collect();
-        ready.sort_by_key(|machine| {
-            let begun = self.emptying.get(&machine.host).copied();
-            (begun.is_none(), begun, machine.worker.is_some())
+        ready.sort_by_key(|host| {
+            let begun = self.emptying.get(&host.host).copied();
+            (begun.is_none(), begun, host.worker.is_some())
         });
-        for machine in ready.into_iter().take(room) {
-            self.emptying.entry(machine.host.clone()).or_insert(now);
-            step.vacate.push(machine.host.clone());
+        for host in ready.into_iter().take(room) {
+            self.emptying.entry(host.host.clone()).or_insert(now);
+            step.to_drain.push(host.host.clone());
         }
         step
     }
 
     /// Returns how many hosts are or may be down for this wave.
-    fn under_maintenance(&self, machines: &BTreeMap<HostId, PlatformHost>) -> usize {
+    fn under_maintenance(&self, hosts: &BTreeMap<HostId, PlatformHost>) -> usize {
         let listed = self.order.hosts.iter().filter(|host| {
-            machines
-                .get(*host)
-                .is_some_and(|machine| machine.state == PlatformHostState::Maintenance)
+            hosts.get(*host).is_some_and(|host| host.state == PlatformHostState::Maintenance)
         });
         let mut down: BTreeSet<&HostId> = listed.collect();
         down.extend(self.down.keys());
@@ -165,7 +163,7 @@
 
     /// Notes that a host that is being emptied can't be taken yet; tells for how long, if that is worth a line
     /// in the log again.
-    pub fn note_held(&mut self, host: &HostId, now: Tick) -> Option<Millis> {
+    pub fn record_held(&mut self, host: &HostId, now: Tick) -> Option<Millis> {
         let since = *self.emptying.get(host)?;
         let told = self.told.insert(host.clone(), now).unwrap_or(since);
         if now.since(told) < TELL_PERIOD {
@@ -177,27 +175,27 @@
 
     /// Tells whether the host may be taken now that its worker is this empty. One with short tasks is not:
     /// an end that the worker tells in the last moment would be lost with it.
-    pub fn may_take(
+    pub fn can_maintain(
         &self,
         progress: DrainProgress,
-        machines: &BTreeMap<HostId, PlatformHost>,
+        hosts: &BTreeMap<HostId, PlatformHost>,
     ) -> bool {
-        let room = self.under_maintenance(machines) < self.order.most as usize;
+        let room = self.under_maintenance(hosts) < self.order.max_down as usize;
         room && matches!(progress, DrainProgress::Empty | DrainProgress::Unknown)
     }
 
     /// Notes that an order for the host was sent, so it may be down from now on.
-    pub fn ordered(&mut self, host: &HostId, now: Tick) {
+    pub fn record_ordered(&mut self, host: &HostId, now: Tick) {
         self.down.insert(host.clone(), now);
     }
 
     /// Notes that the order for the host surely had no effect.
-    pub fn not_taken(&mut self, host: &HostId) {
+    pub fn record_not_taken(&mut self, host: &HostId) {
         self.down.remove(host);
     }
 
     /// Notes that the maintenance of the host has begun, or that it is gone.
-    pub fn begun(&mut self, host: &HostId) {
+    pub fn record_begun(&mut self, host: &HostId) {
         self.emptying.remove(host);
         self.record.begun.insert(host.clone());
     }
--- a/reachhead_jobs/src/worker.rs
+++ b/reachhead_jobs/src/worker.rs
@@ -82,19 +82,19 @@
     last_failed: Option<JobId>,
     several: bool,
     /// Until when it gets nothing.
-    pub suspended: Tick,
+    pub suspended_until: Tick,
     /// It gets one task at a time until one succeeds.
     pub probation: bool,
 }
 
 impl FailureHistory {
     /// Notes a success.
-    pub fn succeed(&mut self) {
-        *self = Self { suspended: self.suspended, ..Self::default() };
+    pub fn record_success(&mut self) {
+        *self = Self { suspended_until: self.suspended_until, ..Self::default() };
     }
 
     /// Notes a failure of a task of `job`; tells whether the worker is suspected by it.
-    pub fn fail(&mut self, job: JobId, now: Tick) -> bool {
+    pub fn record_failure(&mut self, job: JobId, now: Tick) -> bool {
         self.several |= self.last_failed.is_some_and(|last| last != job);
         self.last_failed = Some(job);
         self.failures += 1;
@@ -107,7 +107,7 @@
 
     /// Gives the worker nothing for a while, and then one task at a time.
     pub fn suspend(&mut self, now: Tick) {
-        self.suspended = now + SUSPECT_TIME;
+        self.suspended_until = now + SUSPECT_TIME;
         self.probation = true;
     }
 }
@@ -123,7 +123,7 @@
 
 /// An end that has to be recorded before the worker may forget it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unrecorded {
+pub struct UnrecordedEnd {
     /// The job.
     pub job: JobId,
     /// The newest transaction about the job has it.
@@ -137,7 +137,7 @@
     pub info: WorkerInfo,
     /// When the life that answers this owner began, if that was told: counts and clocks of two lives have nothing to do with
     /// each other.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// The platform's list has it now.
     pub listed: bool,
     /// The pool's roster in the store has it as open, so a successor will ask it.
@@ -145,29 +145,29 @@
     /// Since when its calls fail.
     pub silent_since: Tick,
     /// When it last answered a call.
-    pub heard: Tick,
+    pub last_contact: Tick,
     /// Since when it is known.
     pub joined: Tick,
     /// The newest reading of its clock.
-    pub sample: Option<ClockSample>,
+    pub clock: Option<ClockSample>,
     /// The highest deadline that any order gave it.
-    pub granted: WorkerTime,
+    pub max_deadline: WorkerTime,
     /// Its last call failed.
     pub silent: bool,
     /// It is silent, and its host answered last that nobody listens there.
-    pub deserted: bool,
+    pub port_closed: bool,
     /// It has answered this owner, so no order of a predecessor counts there any more.
     pub answered: bool,
     /// Where the long poll stands.
     pub poll: Poll,
     /// Calls that failed in a row.
-    pub misses: u32,
+    pub failed_calls: u32,
     /// Ends up to this number were taken in.
-    pub noted: u64,
+    pub last_processed: u64,
     /// Ends up to this number are recorded, or need no record.
-    pub seen: u64,
+    pub acknowledged: u64,
     /// The ends that are not recorded yet, by their numbers.
-    pub unrecorded: BTreeMap<u64, Unrecorded>,
+    pub unrecorded: BTreeMap<u64, UnrecordedEnd>,
     /// What may run there.
     pub runs: BTreeMap<TaskId, Charge>,
     /// The sum of `runs`.
@@ -178,24 +178,24 @@
     /// Operators drain its zone: it gets nothing new.
     pub drained: bool,
     /// Until when it gets nothing new, because planned work is about to take it.
-    pub cordoned: Tick,
+    pub cordoned_until: Tick,
     /// Until when it gets nothing new unless a run ends there, since it has turned one away for want of room.
-    pub full: Tick,
+    pub full_until: Tick,
     /// A step for which room is being made there, and until when.
     pub reserved: Option<Reservation>,
     /// When what fills there was last compared with what it disturbs.
-    pub paced: Tick,
+    pub paced_at: Tick,
     /// Orders to start there whose answers were lost lately; they may still come, to whatever life is there then.
-    pub lost: Vec<LostOrder>,
+    pub lost_orders: Vec<LostOrder>,
     /// When the last call to it ended without an answer.
-    pub unanswered: Option<Tick>,
+    pub unanswered_at: Option<Tick>,
     /// When it was noticed that it has started again.
-    pub reborn: Option<Tick>,
+    pub restarted_at: Option<Tick>,
     /// A task that may crash it and has not begun to work. Nothing else is started meanwhile, so that a crash is the
     /// task's own.
     pub trial: Option<TaskId>,
     /// What it ran when its leases lapsed without an answer; if its life is over, it may be what it crashed by.
-    pub lapsed: Vec<CrashSuspect>,
+    pub crash_suspects: Vec<CrashSuspect>,
     /// How it treats its tasks.
     pub failure_history: FailureHistory,
     /// How fast its tasks progress.
@@ -235,67 +235,67 @@
     /// Returns a worker of which only its registration is known.
     pub fn new(info: WorkerInfo, now: Tick) -> Self {
         Self {
-            born: info.born,
+            started_at: info.started_at,
             info,
             listed: true,
             rostered: false,
             silent_since: now,
-            heard: now,
+            last_contact: now,
             joined: now,
-            sample: None,
-            granted: WorkerTime(0),
+            clock: None,
+            max_deadline: WorkerTime(0),
             silent: false,
-            deserted: false,
+            port_closed: false,
             answered: false,
             poll: Poll::Due(now),
-            misses: 0,
-            noted: 0,
-            seen: 0,
+            failed_calls: 0,
+            last_processed: 0,
+            acknowledged: 0,
             unrecorded: BTreeMap::new(),
             runs: BTreeMap::new(),
             used: Amount::default(),
             orphan_runs: 0,
             drained: false,
-            cordoned: Tick(0),
-            full: Tick(0),
+            cordoned_until: Tick(0),
+            full_until: Tick(0),
             reserved: None,
-            paced: Tick(0),
-            lost: Vec::new(),
-            unanswered: None,
-            reborn: None,
+            paced_at: Tick(0),
+            lost_orders: Vec::new(),
+            unanswered_at: None,
+            restarted_at: None,
             trial: None,
-            lapsed: Vec::new(),
+            crash_suspects: Vec::new(),
             failure_history: FailureHistory::default(),
             speed: Speed::new(now),
         }
     }
 
     /// Notes that the answer to an order to start was lost.
-    pub fn lose(&mut self, task: TaskId, run: RunNumber, at: Tick) {
-        self.lost.retain(|lost| at.since(lost.at) < LATE_TIME);
-        self.lost.push(LostOrder { task, run, at });
-        self.miss_answer(at);
+    pub fn record_lost_order(&mut self, task: TaskId, run: RunNumber, at: Tick) {
+        self.lost_orders.retain(|lost| at.since(lost.at) < LATE_TIME);
+        self.lost_orders.push(LostOrder { task, run, at });
+        self.record_unanswered(at);
     }
 
     /// Notes that a call ended without an answer: it may still be carried out, by whatever life is there then.
-    pub fn miss_answer(&mut self, at: Tick) {
-        self.unanswered = Some(at);
-        if self.reborn.is_some_and(|reborn| at.since(reborn) < LATE_TIME) {
+    pub fn record_unanswered(&mut self, at: Tick) {
+        self.unanswered_at = Some(at);
+        if self.restarted_at.is_some_and(|reborn| at.since(reborn) < LATE_TIME) {
             self.hold_back();
         }
     }
 
     /// Notes that another life answers. A call to the old one that comes late would tell it to forget ends that nobody has read,
     /// so it gets nothing until none can come any more.
-    pub fn begin_life(&mut self, at: Tick) {
-        self.reborn = Some(at);
+    pub fn begin_incarnation(&mut self, at: Tick) {
+        self.restarted_at = Some(at);
         self.hold_back();
     }
 
     fn hold_back(&mut self) {
-        if let Some(unanswered) = self.unanswered {
-            self.failure_history.suspended =
-                self.failure_history.suspended.max(unanswered + LATE_TIME);
+        if let Some(unanswered) = self.unanswered_at {
+            self.failure_history.suspended_until =
+                self.failure_history.suspended_until.max(unanswered + LATE_TIME);
         }
     }
 
@@ -315,42 +315,42 @@
     pub fn release(&mut self, task: TaskId) {
         if let Some(charge) = self.runs.remove(&task) {
             self.used = self.used.minus(charge.amount);
-            self.full = Tick(0);
+            self.full_until = Tick(0);
         }
-        self.clear(task);
+        self.end_trial(task);
     }
 
     /// Ends the trial of a task: it has begun to work, or is gone.
-    pub fn clear(&mut self, task: TaskId) {
+    pub fn end_trial(&mut self, task: TaskId) {
         if self.trial == Some(task) {
             self.trial = None;
         }
     }
 
     /// Notes that a transaction was made that has all ends of the job so far.
-    pub fn write(&mut self, job: JobId) {
+    pub fn mark_written(&mut self, job: JobId) {
         for end in self.unrecorded.values_mut().filter(|end| end.job == job) {
             end.written = true;
         }
     }
 
     /// Notes that the newest transaction about the job is in force.
-    pub fn record(&mut self, job: JobId) {
+    pub fn mark_recorded(&mut self, job: JobId) {
         self.unrecorded.retain(|_, end| end.job != job || !end.written);
-        self.settle_seen();
+        self.advance_acknowledged();
     }
 
     /// Looks up to which number the worker may forget its ends.
-    pub fn settle_seen(&mut self) {
+    pub fn advance_acknowledged(&mut self) {
         let first = self.unrecorded.keys().next();
-        let seen = first.map_or(self.noted, |first| first.saturating_sub(1));
-        self.seen = self.seen.max(seen);
+        let seen = first.map_or(self.last_processed, |first| first.saturating_sub(1));
+        self.acknowledged = self.acknowledged.max(seen);
     }
 
     /// Returns when every lease that was given here has surely lapsed; `None` before its clock was
     /// ever read, when none was given.
     pub fn leases_expire_at(&self) -> Option<Tick> {
-        self.sample.map(|sample| sample.surely_past(self.granted))
+        self.clock.map(|sample| sample.surely_past(self.max_deadline))
     }
 
     /// Notes that it may not be there any more: it gets nothing until it answers.
@@ -385,9 +385,9 @@
             && self.trial.is_none()
             && !self.info.draining
             && !self.drained
-            && self.cordoned <= now
-            && self.full <= now
-            && self.failure_history.suspended <= now
+            && self.cordoned_until <= now
+            && self.full_until <= now
+            && self.failure_history.suspended_until <= now
             && (!self.failure_history.probation || self.runs.is_empty())
     }
 }
--- a/reachhead_jobs/tests/authority.rs
+++ b/reachhead_jobs/tests/authority.rs
@@ -23,7 +23,7 @@
         address: None,
         term: 3,
         settled: false,
-        open: None,
+        unsettled_for: None,
     }
 }
 
@@ -31,7 +31,13 @@
 
 /// A holder that this process found when it started.
 fn found(record: &LeaseRecord) -> PreviousHolder<'_> {
-    PreviousHolder { record, since: Tick(10_000), observed: false, own: false, denied: None }
+    PreviousHolder {
+        record,
+        since: Tick(10_000),
+        observed: false,
+        is_self: false,
+        disclaimed_at: None,
+    }
 }
 
 fn overlap(previous: PreviousHolder<'_>) -> Millis {
@@ -43,18 +49,18 @@
     let asked = BootInstant::now();
     let mut confirmation = LeaseConfirmation::default();
     assert_eq!(confirmation.until(asked), None);
-    assert!(confirmation.note(asked, Some(Revision(16)), TOKEN));
+    assert!(confirmation.record(asked, Some(Revision(16)), TOKEN));
     assert_eq!(confirmation.until(asked), Some(asked + ORDER_WINDOW.duration()));
-    assert!(!confirmation.note(asked, Some(Revision(502)), TOKEN));
+    assert!(!confirmation.record(asked, Some(Revision(502)), TOKEN));
     assert_eq!(confirmation.until(asked), None);
-    assert!(!confirmation.note(asked, None, TOKEN));
+    assert!(!confirmation.record(asked, None, TOKEN));
 }
 
 #[test]
 fn a_holder_that_was_frozen_after_an_answer_has_to_ask_again() {
     let asked = BootInstant::now();
     let mut confirmation = LeaseConfirmation::default();
-    confirmation.note(asked, Some(Revision(16)), TOKEN);
+    confirmation.record(asked, Some(Revision(16)), TOKEN);
     assert_eq!(confirmation.until(asked + Duration::from_secs(3)), None);
 }
 
@@ -62,13 +68,13 @@
 fn a_successor_waits_unless_the_holder_has_surely_ended() {
     let (held, returned) = (lease(Some("n")), lease(None));
     let whole = with_drift(ORDER_WINDOW);
-    let denied = |at| PreviousHolder { denied: Some(Tick(at)), ..found(&held) };
+    let denied = |at| PreviousHolder { disclaimed_at: Some(Tick(at)), ..found(&held) };
     assert_eq!(overlap(found(&held)), whole);
     assert_eq!(overlap(found(&returned)), Millis(0), "it gave the lease back");
     assert_eq!(overlap(denied(15_000)), Millis(0), "it answers and holds nothing");
     assert_eq!(overlap(denied(10_040)), whole, "it may not have begun yet");
     assert_eq!(
-        overlap(PreviousHolder { own: true, ..found(&held) }),
+        overlap(PreviousHolder { is_self: true, ..found(&held) }),
         Millis(0),
         "it was restarted"
     );
@@ -106,7 +112,7 @@
             return true;
         }
         let mut confirmation = LeaseConfirmation::default();
-        confirmation.note(at(asked), Some(Revision(16)), TOKEN);
+        confirmation.record(at(asked), Some(Revision(16)), TOKEN);
         let begins = taken + u64::from(answer) + overlap(found(&lease(Some("n")))).0;
         (asked..asked + 3000).all(|now| {
             let until = confirmation.until(at(now)).filter(|until| *until > at(now));
--- a/reachhead_jobs/tests/pool/candidate.rs
+++ b/reachhead_jobs/tests/pool/candidate.rs
@@ -78,14 +78,14 @@
     let names = names(2);
     let small = |owned| candidate(&names[0], 800, owned);
     let large = |owned| candidate(&names[1], 3300, owned);
-    assert!(small(1).should_yield(&large(0)));
-    assert!(!small(1).should_yield(&large(3)));
-    assert!(!small(0).should_yield(&large(0)));
-    assert!(!large(1).should_yield(&small(0)));
+    assert!(small(1).should_hand_over(&large(0)));
+    assert!(!small(1).should_hand_over(&large(3)));
+    assert!(!small(0).should_hand_over(&large(0)));
+    assert!(!large(1).should_hand_over(&small(0)));
     // Alike: two against none is not enough for a change of hands, three is.
     let (own, other) = (candidate(&names[0], 1600, 2), candidate(&names[1], 1600, 0));
-    assert!(!own.should_yield(&other));
-    assert!(Candidate { owned: 3, ..own }.should_yield(&other));
+    assert!(!own.should_hand_over(&other));
+    assert!(Candidate { owned: 3, ..own }.should_hand_over(&other));
 }
 
 #[test]
--- a/reachhead_jobs/tests/pool/crash.rs
+++ b/reachhead_jobs/tests/pool/crash.rs
@@ -105,7 +105,7 @@
     }
 
     fn lasts(&self, id: TaskId) -> bool {
-        self.fixture.pool.jobs().get(&id.job).is_some_and(|job| job.plan.long_running())
+        self.fixture.pool.jobs().get(&id.job).is_some_and(|job| job.plan.is_long_running())
     }
 
     fn is_down(&self, id: &WorkerId) -> bool {
@@ -231,7 +231,7 @@
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up_though_it_runs_on() {
     let mut world = World::new(6, 8);
-    let lasting = Step { long_running: true, may_miss: 1, ..step(3) };
+    let lasting = Step { long_running: true, max_unavailable: 1, ..step(3) };
     world.submit_culprit(1, vec![lasting.clone()]);
     world.fixture.submit(2, vec![lasting]);
     world.run(20_000);
@@ -247,7 +247,7 @@
     for id in 1..=20 {
         world.fixture.submit(id, vec![step(4)]);
     }
-    world.fixture.submit(21, vec![Step { long_running: true, may_miss: 1, ..step(3) }]);
+    world.fixture.submit(21, vec![Step { long_running: true, max_unavailable: 1, ..step(3) }]);
     // Each life is over within some five seconds, whatever runs there.
     for round in 0..24 {
         world.run(400);
--- a/reachhead_jobs/tests/pool/fixture.rs
+++ b/reachhead_jobs/tests/pool/fixture.rs
@@ -58,7 +58,7 @@
         stretch: 2.0,
         target: Millis(600),
         advice: None,
-        open: true,
+        allows_anonymous: true,
     })
 }
 
@@ -78,7 +78,7 @@
 pub fn info(name: &str, cores: u64) -> WorkerInfo {
     WorkerInfo {
         id: worker(name),
-        born: None,
+        started_at: None,
         pool: pool_name(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "z".parse().unwrap(),
@@ -221,7 +221,11 @@
     /// The worker answers a long poll that was sent at `sent` with what it runs.
     pub fn report_sent(&mut self, name: &WorkerId, sent: Tick) {
         let report = WorkerReport {
-            born: self.infos.iter().find(|info| info.id == *name).and_then(|info| info.born),
+            started_at: self
+                .infos
+                .iter()
+                .find(|info| info.id == *name)
+                .and_then(|info| info.started_at),
             clock: self.clock(),
             running: self.running.get(name).cloned().unwrap_or_default(),
             ended: self.ended.get(name).cloned().unwrap_or_default(),
@@ -238,7 +242,7 @@
 
     /// The worker's host answers that nobody listens there.
     pub fn desert(&mut self, name: &WorkerId) {
-        let error = WorkerError::Deserted("connection refused".to_owned());
+        let error = WorkerError::PortClosed("connection refused".to_owned());
         self.pool.held(name, self.now, Err(error), self.now);
     }
 
@@ -252,7 +256,7 @@
     /// The worker has a run, whoever ordered it.
     pub fn runs(&mut self, name: &WorkerId, task: TaskId, run: u64, percent: u32) {
         let entry =
-            RunningEntry { task, run: RunNumber(run), checkpoint: None, percent, figure: 0 };
+            RunningEntry { task, run: RunNumber(run), checkpoint: None, percent, metric: 0 };
         let running = self.running.entry(name.clone()).or_default();
         running.retain(|other| other.task != task);
         running.push(entry);
--- a/reachhead_jobs/tests/pool/inherit.rs
+++ b/reachhead_jobs/tests/pool/inherit.rs
@@ -141,13 +141,13 @@
     fixture.end(&id, task(9, 0, 0), 1, RunEnd::Done);
     fixture.report(&id);
     fixture.flush();
-    assert_eq!(fixture.pool.workers()[&id].seen, 0, "the job may be told of yet");
+    assert_eq!(fixture.pool.workers()[&id].acknowledged, 0, "the job may be told of yet");
     fixture.pass(1000);
     fixture.submit(9, vec![step(1)]);
     assert!(fixture.starts().is_empty(), "its task is done");
     fixture.flush();
     fixture.poll();
-    assert_eq!(fixture.pool.workers()[&id].seen, 1);
+    assert_eq!(fixture.pool.workers()[&id].acknowledged, 1);
     assert!(fixture.pool.jobs().is_empty());
 }
 
@@ -162,7 +162,7 @@
         fixture.report(&id);
         fixture.poll();
     }
-    assert_eq!(fixture.pool.workers()[&id].seen, 1);
+    assert_eq!(fixture.pool.workers()[&id].acknowledged, 1);
 }
 
 /// Hosts moved and all processes lost power before the roster said so: the successor asks workers that are gone.
@@ -229,7 +229,13 @@
     fixture.poll();
     let open = fixture.pool.open_time(fixture.now);
     assert_eq!(open, Millis(whole.0 - 3000));
-    let record = |settled, open| LeaseRecord { owner: None, address: None, term: 1, settled, open };
+    let record = |settled, open| LeaseRecord {
+        owner: None,
+        address: None,
+        term: 1,
+        settled,
+        unsettled_for: open,
+    };
     assert_eq!(timeouts().after_release(&record(false, Some(open))), open);
     let leases = timeouts().after_release(&record(true, Some(Millis(0))));
     assert!(leases < open);
--- a/reachhead_jobs/tests/pool/life.rs
+++ b/reachhead_jobs/tests/pool/life.rs
@@ -476,7 +476,7 @@
             fixture.report(&worker(name));
         }
         let now = fixture.now;
-        let out = |worker: &&Worker| worker.failure_history.suspended > now;
+        let out = |worker: &&Worker| worker.failure_history.suspended_until > now;
         suspended += fixture.pool.workers().values().filter(out).count();
     }
     assert!(suspended <= 2 * 50, "{suspended} tenths of a second without use");
--- a/reachhead_jobs/tests/pool/pace.rs
+++ b/reachhead_jobs/tests/pool/pace.rs
@@ -9,7 +9,7 @@
 fn beside() -> Fixture {
     let mut fixture = Fixture::ready(vec![info("w", 4)]);
     let serves = Step { long_running: true, target: Millis(100), ..step(1) };
-    let fills = Step { long_running: true, fills: true, ..step(1) };
+    let fills = Step { long_running: true, best_effort: true, ..step(1) };
     fixture.submit(1, vec![serves]);
     fixture.submit(2, vec![fills]);
     for (id, order) in fixture.starts() {
@@ -23,7 +23,7 @@
     fixture.pass(400);
     for entry in fixture.running.get_mut(&worker("w")).unwrap() {
         entry.percent = 100;
-        entry.figure = if entry.task == task(1, 0, 0) { tail } else { 500 };
+        entry.metric = if entry.task == task(1, 0, 0) { tail } else { 500 };
     }
     fixture.report(&worker("w"));
     // The round comes some milliseconds after the report.
--- a/reachhead_jobs/tests/pool/quota.rs
+++ b/reachhead_jobs/tests/pool/quota.rs
@@ -33,7 +33,7 @@
 fn allot(fixture: &mut Fixture, round: u64, cores: u64) -> UsageReport {
     let limits = BTreeMap::from([(one(), Amount::new(cores * 1000, 0, 0))]);
     let message =
-        Allotment { ledger: FencingToken(1), round, owner: Some(OWNER), limits, heard: 0 };
+        Allotment { ledger: FencingToken(1), round, owner: Some(OWNER), limits, last_report: 0 };
     fixture.pool.allot(&message)
 }
 
@@ -125,7 +125,7 @@
         round: 3,
         owner: Some(FencingToken(6)),
         limits,
-        heard: 0,
+        last_report: 0,
     };
     fixture.pool.allot(&message);
     assert_eq!(start_all(&mut fixture), [], "it was for the predecessor");
--- a/reachhead_jobs/tests/pool/rebirth.rs
+++ b/reachhead_jobs/tests/pool/rebirth.rs
@@ -22,7 +22,7 @@
 }
 
 fn bear(fixture: &mut Fixture, born: u64) {
-    fixture.infos[0].born = Some(Millis(born));
+    fixture.infos[0].started_at = Some(Millis(born));
 }
 
 /// The worker crashes and is back before anybody calls it.
@@ -84,10 +84,10 @@
     fixture.end(&worker("w"), task(1, 0, 0), run, RunEnd::Done);
     fixture.report(&worker("w"));
     fixture.flush();
-    assert_eq!(holds(&mut fixture)[0].seen, 1);
+    assert_eq!(holds(&mut fixture)[0].acknowledged, 1);
     fixture.miss(&worker("w"));
     fixture.pass(200);
-    assert_eq!(holds(&mut fixture)[0].seen, 0);
+    assert_eq!(holds(&mut fixture)[0].acknowledged, 0);
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let (id, order) = fixture.starts().remove(0);
     fixture.accept(&id, &order);
     let late = WorkerReport {
-        born: Some(Millis(FIRST)),
+        started_at: Some(Millis(FIRST)),
         clock: WorkerTime(9_000_000),
         running: old,
         ended: Vec::new(),
@@ -151,7 +151,7 @@
     assert!(fixture.stops().is_empty());
     let known = &fixture.pool.workers()[&worker("w")];
     assert_eq!(known.runs.len(), 1);
-    assert!(known.sample.unwrap().shown < WorkerTime(9_000_000));
+    assert!(known.clock.unwrap().worker_time < WorkerTime(9_000_000));
 }
 
 /// The platform's list told of the new life first: nothing is started there before it has answered, and a list that is behind
--- a/reachhead_jobs/tests/pool/records.rs
+++ b/reachhead_jobs/tests/pool/records.rs
@@ -35,9 +35,9 @@
     fixture.begin(1, vec![step(2)]);
     fixture.end(&worker("w"), task(1, 0, 0), 1, RunEnd::Done);
     fixture.report(&worker("w"));
-    assert_eq!(fixture.pool.workers()[&worker("w")].seen, 0);
+    assert_eq!(fixture.pool.workers()[&worker("w")].acknowledged, 0);
     fixture.flush();
-    assert_eq!(fixture.pool.workers()[&worker("w")].seen, 1);
+    assert_eq!(fixture.pool.workers()[&worker("w")].acknowledged, 1);
 }
 
 #[test]
@@ -50,7 +50,7 @@
     fixture.end(&worker("w"), task(1, 0, 1), 1, RunEnd::Done);
     fixture.report(&worker("w"));
     fixture.pool.decided(&batch, &Commit::Done(Revision(200)), fixture.now);
-    assert_eq!(fixture.pool.workers()[&worker("w")].seen, 1);
+    assert_eq!(fixture.pool.workers()[&worker("w")].acknowledged, 1);
     assert!(!fixture.pool.due().is_empty(), "the second end is still to be written");
 }
 
@@ -122,7 +122,7 @@
         .iter()
         .map(|due| fixture.pool.batch(due.lane, Millis(fixture.now.0)).unwrap())
         .collect();
-    let seen = |fixture: &Fixture| fixture.pool.workers()[&worker("w")].seen;
+    let seen = |fixture: &Fixture| fixture.pool.workers()[&worker("w")].acknowledged;
     fixture.pool.decided(&batches[1], &Commit::Done(Revision(200)), fixture.now);
     assert_eq!(seen(&fixture), 0, "the first end is not recorded");
     fixture.pool.decided(&batches[0], &Commit::Done(Revision(201)), fixture.now);
@@ -149,7 +149,7 @@
     fixture.report(&worker("w"));
     fixture.poll();
     assert!(fixture.pool.due().is_empty(), "{:?}", fixture.pool.due());
-    assert_eq!(fixture.pool.workers()[&worker("w")].seen, 2);
+    assert_eq!(fixture.pool.workers()[&worker("w")].acknowledged, 2);
 }
 
 #[test]
@@ -166,6 +166,6 @@
     fixture.poll();
     fixture.flush();
     assert!(fixture.pool.due().is_empty());
-    assert_eq!(fixture.pool.workers()[&id].seen, 1);
+    assert_eq!(fixture.pool.workers()[&id].acknowledged, 1);
     assert!(fixture.pool.jobs().is_empty());
 }
--- a/reachhead_jobs/tests/pool/vacate.rs
+++ b/reachhead_jobs/tests/pool/vacate.rs
@@ -10,7 +10,7 @@
 use crate::fixture::{Fixture, info, left, step, task, worker};
 
 fn lasting(count: u32) -> Vec<Step> {
-    vec![Step { long_running: true, may_miss: 1, spread: 1, ..step(count) }]
+    vec![Step { long_running: true, max_unavailable: 1, spread: 1, ..step(count) }]
 }
 
 /// A pool in which each of three tasks that last works on a worker of its own.
@@ -114,7 +114,7 @@
 #[test]
 fn a_pool_is_not_emptied_of_all_its_workers_at_once() {
     let mut fixture = Fixture::ready(vec![info("a", 4), info("b", 4), info("c", 4)]);
-    fixture.submit(1, vec![Step { long_running: true, may_miss: 1, ..step(2) }]);
+    fixture.submit(1, vec![Step { long_running: true, max_unavailable: 1, ..step(2) }]);
     for (id, order) in fixture.starts() {
         fixture.accept(&id, &order);
         fixture.runs(&id, order.task, order.run.0, 100);
--- a/reachhead_jobs/tests/pool/wave.rs
+++ b/reachhead_jobs/tests/pool/wave.rs
@@ -30,7 +30,7 @@
         name: "1".parse().unwrap(),
         hosts: machines.keys().cloned().collect(),
         within: Millis(20_000),
-        most,
+        max_down: most,
     };
     Wave::new(order, WaveRecord::default(), Tick(0))
 }
@@ -41,9 +41,9 @@
     let mut wave = wave(&machines, 2);
     let step = wave.next(&machines, Tick(0));
     let mut taken = 0;
-    for host in &step.vacate {
-        if wave.may_take(DrainProgress::Empty, &machines) {
-            wave.ordered(host, Tick(0));
+    for host in &step.to_drain {
+        if wave.can_maintain(DrainProgress::Empty, &machines) {
+            wave.record_ordered(host, Tick(0));
             taken += 1;
         }
     }
@@ -54,7 +54,7 @@
 fn a_host_that_the_list_shows_down_counts_whoever_ordered_it() {
     let machines = hosts(&[PlatformHostState::Maintenance, PlatformHostState::Up]);
     let wave = wave(&machines, 1);
-    assert!(!wave.may_take(DrainProgress::Empty, &machines));
+    assert!(!wave.can_maintain(DrainProgress::Empty, &machines));
 }
 
 #[test]
@@ -65,9 +65,9 @@
     wave.next(&machines, Tick(0));
     assert_eq!(wave.mode(&host, Tick(100)), DrainMode::Graceful);
     assert_eq!(wave.mode(&host, Tick(2600)), DrainMode::Forced);
-    assert!(!wave.may_take(DrainProgress::Short, &machines));
-    assert!(!wave.may_take(DrainProgress::Protected, &machines));
-    assert!(wave.may_take(DrainProgress::Empty, &machines));
+    assert!(!wave.can_maintain(DrainProgress::Short, &machines));
+    assert!(!wave.can_maintain(DrainProgress::Protected, &machines));
+    assert!(wave.can_maintain(DrainProgress::Empty, &machines));
 }
 
 #[test]
@@ -86,11 +86,11 @@
     let mut wave = wave(&machines, 2);
     let first = machines.keys().next().unwrap().clone();
     let second = machines.keys().nth(1).unwrap().clone();
-    wave.begun(&first);
+    wave.record_begun(&first);
     assert!(!wave.is_done());
     machines.remove(&second);
     let step = wave.next(&machines, Tick(0));
-    assert_eq!(step.gone, vec![second.clone()]);
-    wave.begun(&second);
+    assert_eq!(step.missing, vec![second.clone()]);
+    wave.record_begun(&second);
     assert!(wave.is_done());
 }
--- a/reachhead_jobs/tests/progress.rs
+++ b/reachhead_jobs/tests/progress.rs
@@ -32,7 +32,7 @@
         stretch: 2.0,
         target: Millis(600),
         advice: None,
-        open: true,
+        allows_anonymous: true,
     });
     let steps = counts.iter().map(|count| Step { count: *count, ..Step::default() }).collect();
     let schedule = (occurrences > 1).then_some(Schedule {
@@ -43,7 +43,7 @@
     let plan = Arc::new(Plan { payload: "x".into(), steps, schedule });
     let record = JobRecord { queue, plan, accepted: Millis(0), customer: None };
     let mut job = Job::new(JobId(1), &record, Tick(0));
-    job.unfold(Millis(u64::from(occurrences)));
+    job.add_due_occurrences(Millis(u64::from(occurrences)));
     job
 }
 
--- a/reachhead_jobs/tests/quota/main.rs
+++ b/reachhead_jobs/tests/quota/main.rs
@@ -63,7 +63,7 @@
         }
         let customers = BTreeMap::from([(customer(), stated(*limit, 0, next))]);
         let report = UsageReport { owner: FencingToken(9), whole: true, customers };
-        ledger.stated(&name, &message, report, Tick(1));
+        ledger.process_report(&name, &message, report, Tick(1));
     }
 }
 
@@ -110,7 +110,7 @@
             if name != pool(0) {
                 let customers = BTreeMap::from([(customer(), stated(0, 0, 1000))]);
                 let report = UsageReport { owner: FencingToken(9), whole: true, customers };
-                ledger.stated(&name, &message, report, Tick(time));
+                ledger.process_report(&name, &message, report, Tick(time));
             }
         }
     }
--- a/reachhead_jobs/tests/quota/site.rs
+++ b/reachhead_jobs/tests/quota/site.rs
@@ -171,7 +171,7 @@
         let mut owner = Owner::new(self.tokens, self.quota, self.now);
         // It has seen the leases as they were when it wrote its own.
         let newest = self.ledgers[self.ledgers.len() - 1].token;
-        owner.allowances.follow(FencingToken(newest), Tick(self.now));
+        owner.allowances.observe_ledger(FencingToken(newest), Tick(self.now));
         self.owners[place] = owner;
     }
 
@@ -182,7 +182,7 @@
             let due = self.draw(20) == 0 || self.now - self.owners[place].leases > TRUST / 2;
             if due {
                 self.owners[place].leases = self.now;
-                self.owners[place].allowances.follow(FencingToken(newest), Tick(self.now));
+                self.owners[place].allowances.observe_ledger(FencingToken(newest), Tick(self.now));
             }
         }
     }
@@ -225,7 +225,7 @@
     fn answer(&mut self, letter: &Letter) -> UsageReport {
         let used = cores(self.used(letter.pool));
         let owner = &mut self.owners[letter.pool];
-        owner.allowances.take(&letter.allotment, owner.token);
+        owner.allowances.apply(&letter.allotment, owner.token);
         let token = owner.token;
         let demand = Demand { used, wanted: cores(owner.denied), next: cores(owner.denied) };
         owner.allowances.answer(&letter.allotment, token, &BTreeMap::from([(customer(), demand)]))
@@ -255,7 +255,7 @@
             }
         }
         for (name, sent, report) in statements {
-            self.ledgers[ledger].ledger.stated(&name, &sent, report, now);
+            self.ledgers[ledger].ledger.process_report(&name, &sent, report, now);
         }
     }
 
--- a/reachhead_jobs/tests/relay.rs
+++ b/reachhead_jobs/tests/relay.rs
@@ -43,7 +43,7 @@
             Some(page) => self.apply(&page),
             None => {
                 self.rows.clear();
-                self.apply(&log.whole());
+                self.apply(&log.snapshot());
             }
         }
     }
@@ -90,5 +90,5 @@
     }
     assert_eq!(log.since(Revision(9)), None);
     assert_eq!(log.since(Revision(198)).unwrap().changes.len(), 1);
-    assert_eq!(log.whole().changes.len(), 2);
+    assert_eq!(log.snapshot().changes.len(), 2);
 }
--- a/reachhead_jobs/tests/walk/site.rs
+++ b/reachhead_jobs/tests/walk/site.rs
@@ -249,7 +249,7 @@
     fn infos(&self) -> Vec<WorkerInfo> {
         let info = |(id, life): (&WorkerId, &Life)| WorkerInfo {
             id: id.clone(),
-            born: life.born,
+            started_at: life.born,
             pool: pool_name(),
             address: "127.0.0.1:1".parse().unwrap(),
             zone: "z".parse().unwrap(),
@@ -360,7 +360,7 @@
 
     fn submit(&mut self, kind: u8) {
         let id = JobId(self.jobs.len() as u64 + 1);
-        let long = self.jobs.values().filter(|plan| plan.long_running()).count();
+        let long = self.jobs.values().filter(|plan| plan.is_long_running()).count();
         // More tasks that run on than that would leave no room for anything else.
         let plan = plan(if long >= 2 { kind % 2 } else { kind });
         let record = JobRecord {
--- a/reachhead_jobs/tests/walk/site/judge.rs
+++ b/reachhead_jobs/tests/walk/site/judge.rs
@@ -121,7 +121,7 @@
             self.read(key).map(|row| row.parse::<FinalRecord>().unwrap().ending)
         };
         let settled = |id: &JobId, plan: &Plan| match ended(id) {
-            Some(Ending::Completed) => !plan.long_running() && !self.is_culprit(*id),
+            Some(Ending::Completed) => !plan.is_long_running() && !self.is_culprit(*id),
             Some(Ending::Cancelled) => self.cancelled.contains(id),
             Some(Ending::Failed) => self.is_culprit(*id),
             None => {
@@ -129,7 +129,7 @@
                     .tasks
                     .iter()
                     .filter(|(task, seen)| task.job == *id && !seen.running.is_empty());
-                plan.long_running()
+                plan.is_long_running()
                     && owner.pool.state(*id) == Some(JobState::Running)
                     && works.count() == plan.steps[0].count as usize
             }
--- a/reachhead_jobs/tests/walk/site/plans.rs
+++ b/reachhead_jobs/tests/walk/site/plans.rs
@@ -18,7 +18,7 @@
         stretch: 2.0,
         target: Millis(600),
         advice: None,
-        open: true,
+        allows_anonymous: true,
     })
 }
 
@@ -33,7 +33,7 @@
     let steps = match kind % 3 {
         0 => vec![step(2, vec![])],
         1 => vec![step(1, vec![]), step(2, vec![0])],
-        _ => vec![Step { long_running: true, may_miss: 1, ..step(2, vec![]) }],
+        _ => vec![Step { long_running: true, max_unavailable: 1, ..step(2, vec![]) }],
     };
     Arc::new(Plan { payload: "x".into(), steps, schedule: None })
 }
--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -182,7 +182,7 @@
 ) -> Result<Admission, ErrorKind> {
     let queue = config.route(host, path).ok_or(ErrorKind::NoRoute)?;
     let customer = key.and_then(|key| config.customers.holder(key));
-    if customer.is_none() && !queue.open {
+    if customer.is_none() && !queue.allows_anonymous {
         return Err(ErrorKind::UnknownKey);
     }
     Ok(Admission { queue: Arc::clone(queue), customer: customer.cloned() })
--- a/reachhead_node/src/fleet/memory.rs
+++ b/reachhead_node/src/fleet/memory.rs
@@ -5,7 +5,7 @@
 use reachhead_jobs::{
     balance::{ClockPair, UsageRecord},
     clock::Tick,
-    record::{lease_key, use_key, value},
+    record::{lease_key, usage_key, value},
 };
 use reachhead_ops::event::{Event, emit};
 use reachhead_store::{
@@ -43,7 +43,7 @@
         if self.memory.read {
             return;
         }
-        let rows = self.node.services.store.read(vec![use_key(&name())]).await;
+        let rows = self.node.services.store.read(vec![usage_key(&name())]).await;
         self.node.note_store(&rows);
         let row = match rows {
             Ok(rows) => rows.into_iter().flatten().next(),
@@ -80,7 +80,7 @@
             return;
         }
         self.memory.next = now + SAVE_PERIOD;
-        let key = use_key(&name());
+        let key = usage_key(&name());
         let txn = Txn::new()
             .with_check(lease_key(&name()), Some(self.token))
             .with_check(key.clone(), self.memory.revision)
@@ -98,7 +98,7 @@
         match saving.await {
             Ok(Ok(Commit::Done(revision))) => self.memory.revision = Some(revision),
             Ok(Ok(Commit::Conflict(conflicts))) => {
-                let own = conflicts.into_iter().find(|conflict| conflict.key == use_key(&name()));
+                let own = conflicts.into_iter().find(|conflict| conflict.key == usage_key(&name()));
                 // An owner that is relieved learns that from the leases.
                 self.memory.revision =
                     own.and_then(|conflict| conflict.row).map(|row| row.revision);
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -58,8 +58,8 @@
         record: &lease.record,
         since: lease.since,
         observed: view.leases_read.is_some_and(|first| lease.since > first),
-        own: owner == Some(&node.settings.node),
-        denied: heard.filter(denies).map(|heard| heard.at),
+        is_self: owner == Some(&node.settings.node),
+        disclaimed_at: heard.filter(denies).map(|heard| heard.at),
     };
     let checked = node.settings.machines.is_none_or(|machines| machines.fenced);
     previous.takeover_wait(node.now(), node.settings.duty, checked)
@@ -190,7 +190,7 @@
     async fn move_hosts(&mut self) {
         let waves: Vec<&Wave> = self.waves.values().map(|held| &held.wave).collect();
         let held = |host: &HostId| {
-            self.lives.is_open(host) || waves.iter().any(|wave| wave.is_emptying(host))
+            self.lives.is_open(host) || waves.iter().any(|wave| wave.is_draining(host))
         };
         let moved = self.moves.round(&self.machines, held).await;
         for moved in moved {
@@ -220,8 +220,13 @@
     }
 
     async fn give_back(&self) {
-        let record =
-            LeaseRecord { owner: None, address: None, term: self.term, settled: true, open: None };
+        let record = LeaseRecord {
+            owner: None,
+            address: None,
+            term: self.term,
+            settled: true,
+            unsettled_for: None,
+        };
         let txn = Txn::new()
             .with_check(lease_key(&name()), Some(self.token))
             .with_write(lease_key(&name()), value(&record));
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -45,9 +45,9 @@
         // An owner whose lease is older than this one's has to be known as the owner, see `Owner::allot`.
         let sees = node.view().leases_revision >= token;
         let again = sees && round(&node, &mut ledger).await;
-        let pause = if again || ledger.is_moving() {
+        let pause = if again || ledger.is_converging() {
             MOVING_PAUSE
-        } else if ledger.is_short() {
+        } else if ledger.is_throttled() {
             SHORT_PAUSE
         } else {
             CALM_PAUSE
@@ -75,7 +75,7 @@
         // What an owner says that has been replaced does not bind its successor.
         let current = |report: &UsageReport| Some(report.owner) >= lease;
         if let Some(report) = report.filter(current) {
-            news |= ledger.stated(&pool, &allotment, report, node.now());
+            news |= ledger.process_report(&pool, &allotment, report, node.now());
         }
     }
     news
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -70,7 +70,7 @@
                     order.hosts.len(),
                     record.begun.len(),
                     order.within,
-                    order.most
+                    order.max_down
                 ),
             );
             if record.completed {
@@ -94,11 +94,11 @@
             return;
         };
         let step = held.wave.next(&self.machines, now);
-        let mut changed = !step.gone.is_empty();
-        for host in &step.gone {
-            held.wave.begun(host);
+        let mut changed = !step.missing.is_empty();
+        for host in &step.missing {
+            held.wave.record_begun(host);
         }
-        changed |= self.take_hosts(name, step.vacate).await;
+        changed |= self.take_hosts(name, step.to_drain).await;
         let done = self.waves.get(name).is_some_and(|held| held.wave.is_done());
         if changed || done {
             self.save(name).await;
@@ -133,8 +133,8 @@
             let Some(held) = self.waves.get_mut(name) else {
                 return false;
             };
-            if !held.wave.may_take(progress, &self.machines) {
-                if let Some(waited) = held.wave.note_held(&machine.host, now) {
+            if !held.wave.can_maintain(progress, &self.machines) {
+                if let Some(waited) = held.wave.record_held(&machine.host, now) {
                     emit(
                         Event::HostHeld,
                         format_args!(
@@ -145,7 +145,7 @@
                 }
                 continue;
             }
-            held.wave.ordered(&machine.host, now);
+            held.wave.record_ordered(&machine.host, now);
             let first = !self.lives.is_open(&machine.host);
             if let Some(worker) = machine.worker.filter(|_| first) {
                 let order = OpenOrder { pool: machine.pool, worker, maintenance: true };
@@ -191,7 +191,7 @@
         };
         match result {
             Ok(()) | Err(HostOrderError::Unknown | HostOrderError::Foreign) => {
-                held.wave.begun(host);
+                held.wave.record_begun(host);
                 self.restarted.remove(host);
                 true
             }
@@ -200,7 +200,7 @@
                 false
             }
             Err(HostOrderError::Busy | HostOrderError::NotDone(_)) => {
-                held.wave.not_taken(host);
+                held.wave.record_not_taken(host);
                 if *first {
                     self.lives.withdrawn(host);
                 }
--- a/reachhead_node/src/mandate.rs
+++ b/reachhead_node/src/mandate.rs
@@ -58,7 +58,7 @@
                 return None;
             }
         };
-        if !confirmation.note(asked, found, self.token) {
+        if !confirmation.record(asked, found, self.token) {
             self.lost.store(true, Ordering::Relaxed);
             return None;
         }
--- a/reachhead_node/src/metrics.rs
+++ b/reachhead_node/src/metrics.rs
@@ -75,7 +75,7 @@
         let result = match result {
             Ok(_) => "done",
             Err(WorkerError::Unreachable(_)) => "unreachable",
-            Err(WorkerError::Deserted(_)) => "deserted",
+            Err(WorkerError::PortClosed(_)) => "deserted",
             Err(WorkerError::Lost(_) | WorkerError::Broken(_)) => "lost",
             Err(WorkerError::Replaced) => "replaced",
             Err(WorkerError::Rejected(_)) => "rejected",
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -132,7 +132,7 @@
         let passed = tables.get(table)?;
         let page = match request.after {
             Some(after) => passed.log.since(after),
-            None => Some(passed.log.whole()),
+            None => Some(passed.log.snapshot()),
         };
         Some((page, passed.seen))
     }
--- a/reachhead_node/src/relief.rs
+++ b/reachhead_node/src/relief.rs
@@ -87,7 +87,7 @@
     let others = view.members.iter().filter(|(other, _)| **other != node.settings.node);
     let mut found: Vec<(Candidate<'_>, SocketAddr)> = others
         .map(|(other, member)| (view.candidate(other, &member.record), member.record.address))
-        .filter(|(candidate, _)| own.should_yield(candidate))
+        .filter(|(candidate, _)| own.should_hand_over(candidate))
         .collect();
     found.sort_by(|(a, _), (b, _)| a.compare(b));
     let successor = |(candidate, address): (Candidate<'_>, SocketAddr)| Successor {
--- a/reachhead_node/src/takeover.rs
+++ b/reachhead_node/src/takeover.rs
@@ -48,7 +48,7 @@
     let term = known.map_or(0, |known| known.record.term + 1);
     let owner = Some(node.settings.node.clone());
     let address = Some(node.settings.peer);
-    let record = LeaseRecord { owner, address, term, settled: false, open: None };
+    let record = LeaseRecord { owner, address, term, settled: false, unsettled_for: None };
     let key = lease_key(pool);
     let txn = Txn::new()
         .with_check(key.clone(), known.map(|known| known.revision))
