--- a/reachhead_jobs/src/balance/mod.rs
+++ b/reachhead_jobs/src/balance/mod.rs
@@ -111,7 +111,7 @@
         HostDemand {
             pool: self.pool.clone(),
             have: self.have,
-            claim: self.claim.whole,
+            claim: self.claim.total,
             want: self.want,
             free: self.free.len(),
             busy: self.busy,
@@ -234,7 +234,7 @@
         }
         free.sort_by(|a, b| a.host.cmp(&b.host));
         let claim = claimed(&state.load, size);
-        let want = claim.whole;
+        let want = claim.total;
         let used: u64 = state.load.workers.iter().map(|load| load.used).sum();
         let busy = used.div_ceil(size.max(1)) as usize;
         let begun = state.load.begun;
@@ -299,7 +299,7 @@
     let base = LEAST_HOSTS.max(pinned).max(load.least as usize);
     let whole = with_margin(load.need);
     let hosts = |cores: u64| hosts_for(cores, load, size).max(base) + extra;
-    Claim { base: base + extra, timely: hosts(load.timely.min(whole)), whole: hosts(whole) }
+    Claim { base: base + extra, timely: hosts(load.timely.min(whole)), total: hosts(whole) }
 }
 
 /// Returns how many hosts bear this many thousandths of a core, the largest of the pool's own first: those that have shrunk bear
--- a/reachhead_jobs/src/customer.rs
+++ b/reachhead_jobs/src/customer.rs
@@ -59,12 +59,12 @@
     }
 
     /// Tells whether any customer has a quota.
-    pub fn any_limited(&self) -> bool {
+    pub fn has_quotas(&self) -> bool {
         self.by_name.values().any(|customer| customer.quota.is_limited())
     }
 
     /// Returns whose key this is.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&CustomerName> {
+    pub fn customer_of_key(&self, key: &KeyDigest) -> Option<&CustomerName> {
         self.by_key.get(key)
     }
 
--- a/reachhead_jobs/src/division.rs
+++ b/reachhead_jobs/src/division.rs
@@ -16,12 +16,12 @@
     /// For work that can be in time. Late work of one pool must not hold a host that another lacks for it.
     pub timely: usize,
     /// For late work, and a margin.
-    pub whole: usize,
+    pub total: usize,
 }
 
 /// The levels of a claim, the most urgent first.
 const LEVELS: [fn(&Claim) -> usize; 3] =
-    [|claim| claim.base, |claim| claim.timely, |claim| claim.whole];
+    [|claim| claim.base, |claim| claim.timely, |claim| claim.total];
 
 /// Returns how many of `hosts` each pool is to have, in the order of the claims.
 ///
--- a/reachhead_jobs/src/model.rs
+++ b/reachhead_jobs/src/model.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the longest chain of the steps' times, as `time` gives them.
-    pub fn chain(&self, time: impl Fn(&Step) -> Millis) -> Millis {
+    pub fn critical_path(&self, time: impl Fn(&Step) -> Millis) -> Millis {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter().filter_map(|&earlier| ends.get(earlier as usize));
--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -150,7 +150,7 @@
 
     /// Returns the moment until which the job is in time.
     pub fn objective(&self, queue: &Arc<Queue>, plan: &Plan) -> Millis {
-        let chain = plan.chain(|step| self.predict(&queue.name, step));
+        let chain = plan.critical_path(|step| self.predict(&queue.name, step));
         Millis(queue.target.0 + (chain.0 as f64 * queue.stretch) as u64)
     }
 
--- a/reachhead_jobs/src/place.rs
+++ b/reachhead_jobs/src/place.rs
@@ -39,7 +39,7 @@
 
 impl PlacementRequest<'_> {
     /// Tells whether the worker may run the task, room aside.
-    pub fn allowed(&self, worker: &Worker, now: Tick) -> bool {
+    pub fn is_allowed(&self, worker: &Worker, now: Tick) -> bool {
         let labelled =
             self.step.label.as_ref().is_none_or(|label| worker.info.labels.contains(label));
         labelled && worker.accepts(now) && self.spread_allows(worker)
@@ -50,7 +50,7 @@
         let kept =
             worker.reserved.is_some_and(|kept| kept.until > now && kept.step != self.step_id);
         let twice = self.task.is_some_and(|task| worker.runs.contains_key(&task));
-        !kept && !twice && self.allowed(worker, now) && self.step.charge().fits(worker.free())
+        !kept && !twice && self.is_allowed(worker, now) && self.step.charge().fits(worker.free())
     }
 
     fn spread_allows(&self, worker: &Worker) -> bool {
--- a/reachhead_jobs/src/pool/drain_worker.rs
+++ b/reachhead_jobs/src/pool/drain_worker.rs
@@ -152,7 +152,7 @@
         };
         self.workers.values().any(|worker| {
             wanted.fits(worker, now)
-                || (wanted.allowed(worker, now) && self.victims(worker, step).is_some())
+                || (wanted.is_allowed(worker, now) && self.victims(worker, step).is_some())
         })
     }
 
--- a/reachhead_jobs/src/pool/quota.rs
+++ b/reachhead_jobs/src/pool/quota.rs
@@ -52,7 +52,7 @@
     /// Takes over the customers of a configuration.
     pub fn configure(&mut self, customers: &Arc<Customers>) {
         self.quotas.limits.configure(customers);
-        self.quotas.limited = self.quotas.limits.any_limited();
+        self.quotas.limited = self.quotas.limits.has_quotas();
     }
 
     /// Notes who keeps the ledger now, by the store's word.
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -361,7 +361,7 @@
             trial: false,
         };
         let usable = self.workers.values().filter(|worker| {
-            worker.reserved.is_none_or(|kept| kept.until <= now) && wanted.allowed(worker, now)
+            worker.reserved.is_none_or(|kept| kept.until <= now) && wanted.is_allowed(worker, now)
         });
         let found = usable.filter_map(|worker| {
             let tasks = self.victims(worker, step)?;
--- a/reachhead_jobs/src/quota/allowance.rs
+++ b/reachhead_jobs/src/quota/allowance.rs
@@ -81,8 +81,8 @@
     }
 
     /// Tells whether any customer has a quota.
-    pub fn any_limited(&self) -> bool {
-        self.customers.any_limited()
+    pub fn has_quotas(&self) -> bool {
+        self.customers.has_quotas()
     }
 
     /// Takes in limits, unless they are for another owner or older than what is known.
--- a/reachhead_jobs/src/wave.rs
+++ b/reachhead_jobs/src/wave.rs
@@ -155,7 +155,7 @@
     }
 
     /// Returns what becomes of short tasks on the host, which is being emptied.
-    pub fn mode(&self, host: &HostId, now: Tick) -> DrainMode {
+    pub fn drain_mode(&self, host: &HostId, now: Tick) -> DrainMode {
         let waited = self.emptying.get(host).map_or(Millis(0), |since| now.since(*since));
         let late = now.since(self.since).0 * 100 > self.order.within.0 * PATIENCE_PERCENT;
         if late || waited >= SHORT_PATIENCE { DrainMode::Forced } else { DrainMode::Graceful }
--- a/reachhead_jobs/tests/pool/division.rs
+++ b/reachhead_jobs/tests/pool/division.rs
@@ -15,7 +15,7 @@
         let claim = |_| {
             let base = part(g) / 4;
             let timely = base + part(g);
-            Claim { base, timely, whole: timely + part(g) }
+            Claim { base, timely, total: timely + part(g) }
         };
         Self((0..count).map(claim).collect())
     }
@@ -26,7 +26,7 @@
     let mut shares = vec![0; claims.len()];
     let mut left = hosts;
     for level in [0, 1, 2] {
-        let most = |claim: &Claim| [claim.base, claim.timely, claim.whole][level];
+        let most = |claim: &Claim| [claim.base, claim.timely, claim.total][level];
         while left > 0 {
             let lacks = (0..claims.len()).filter(|&pool| shares[pool] < most(&claims[pool]));
             let Some(pool) = lacks.min_by_key(|&pool| shares[pool]) else {
@@ -48,22 +48,22 @@
     fn nobody_gets_more_than_it_could_use_and_nothing_is_kept_back(claims: Claims, hosts: u8) -> bool {
         let hosts = usize::from(hosts);
         let shares = divide(hosts, &claims.0);
-        let asked: usize = claims.0.iter().map(|claim| claim.whole).sum();
-        let bounded = shares.iter().zip(&claims.0).all(|(share, claim)| *share <= claim.whole);
+        let asked: usize = claims.0.iter().map(|claim| claim.total).sum();
+        let bounded = shares.iter().zip(&claims.0).all(|(share, claim)| *share <= claim.total);
         bounded && shares.iter().sum::<usize>() == asked.min(hosts)
     }
 }
 
 #[test]
 fn late_work_holds_no_host_that_another_pool_lacks_for_work_in_time() {
-    let behind = Claim { base: 3, timely: 20, whole: 80 };
-    let rising = Claim { base: 3, timely: 30, whole: 34 };
+    let behind = Claim { base: 3, timely: 20, total: 80 };
+    let rising = Claim { base: 3, timely: 30, total: 34 };
     assert_eq!(divide(54, &[behind, rising]), [24, 30]);
 }
 
 #[test]
 fn a_small_claim_is_met_whole_beside_large_ones() {
-    let small = Claim { base: 3, timely: 10, whole: 12 };
-    let large = Claim { base: 5, timely: 60, whole: 70 };
+    let small = Claim { base: 3, timely: 10, total: 12 };
+    let large = Claim { base: 5, timely: 60, total: 70 };
     assert_eq!(divide(90, &[large, small, large]), [40, 10, 40]);
 }
--- a/reachhead_jobs/tests/pool/wave.rs
+++ b/reachhead_jobs/tests/pool/wave.rs
@@ -63,8 +63,8 @@
     let mut wave = wave(&machines, 1);
     let host = machines.keys().next().unwrap().clone();
     wave.next(&machines, Tick(0));
-    assert_eq!(wave.mode(&host, Tick(100)), DrainMode::Graceful);
-    assert_eq!(wave.mode(&host, Tick(2600)), DrainMode::Forced);
+    assert_eq!(wave.drain_mode(&host, Tick(100)), DrainMode::Graceful);
+    assert_eq!(wave.drain_mode(&host, Tick(2600)), DrainMode::Forced);
     assert!(!wave.can_maintain(DrainProgress::Short, &machines));
     assert!(!wave.can_maintain(DrainProgress::Protected, &machines));
     assert!(wave.can_maintain(DrainProgress::Empty, &machines));
@@ -76,7 +76,7 @@
     let mut wave = wave(&machines, 1);
     wave.next(&machines, Tick(13_000));
     for host in machines.keys() {
-        assert_eq!(wave.mode(host, Tick(13_000)), DrainMode::Forced);
+        assert_eq!(wave.drain_mode(host, Tick(13_000)), DrainMode::Forced);
     }
 }
 
--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -181,7 +181,7 @@
     key: Option<&KeyDigest>,
 ) -> Result<Admission, ErrorKind> {
     let queue = config.route(host, path).ok_or(ErrorKind::NoRoute)?;
-    let customer = key.and_then(|key| config.customers.holder(key));
+    let customer = key.and_then(|key| config.customers.customer_of_key(key));
     if customer.is_none() && !queue.allows_anonymous {
         return Err(ErrorKind::UnknownKey);
     }
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -75,7 +75,7 @@
 
 /// Tells whether there is anything for an owner of all hosts to do.
 pub fn is_wanted(node: &Node) -> bool {
-    let limited = |config: &Arc<Configuration>| config.customers.any_limited();
+    let limited = |config: &Arc<Configuration>| config.customers.has_quotas();
     node.services.machines.is_some() || node.view().config.as_ref().is_some_and(limited)
 }
 
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -61,7 +61,7 @@
     let Some(config) = node.view().config.clone() else {
         return false;
     };
-    if !config.customers.any_limited() {
+    if !config.customers.has_quotas() {
         return false;
     }
     let messages = ledger.round(config.pools.keys(), &config.customers, node.now());
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -117,7 +117,7 @@
         let now = self.node.now();
         let mode = |host: &HostId| {
             let held = self.waves.get(name);
-            held.map_or(DrainMode::Graceful, |held| held.wave.mode(host, now))
+            held.map_or(DrainMode::Graceful, |held| held.wave.drain_mode(host, now))
         };
         let vacancies = join_all(machines.iter().map(|machine| async {
             if self.restarted.contains(&machine.host) {
