--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -90,7 +90,7 @@
 
 /// What was learned of the queues of a pool.
 #[derive(Debug, Clone, Default)]
-pub struct Experience {
+pub struct DurationEstimator {
     durations: BTreeMap<RouteName, Durations>,
     work: BTreeMap<RouteName, Work>,
 }
@@ -117,15 +117,15 @@
     }
 }
 
-impl Experience {
+impl DurationEstimator {
     /// Notes how long a task took.
-    pub fn learn(&mut self, queue: &RouteName, guess: Millis, real: Millis) {
+    pub fn observe_task(&mut self, queue: &RouteName, guess: Millis, real: Millis) {
         let durations = self.durations.entry(queue.clone()).or_insert_with(Durations::new);
         durations.learn(guess, real);
     }
 
     /// Notes a job that was accepted.
-    pub fn admit(&mut self, queue: &RouteName, plan: &Plan) {
+    pub fn observe_job(&mut self, queue: &RouteName, plan: &Plan) {
         self.work.entry(queue.clone()).or_default().learn(plan);
     }
 
@@ -150,16 +150,16 @@
 
     /// Returns the moment until which the job is in time.
     pub fn objective(&self, queue: &Arc<Queue>, plan: &Plan) -> Millis {
-        let chain = plan.chain(|step| self.predict(&queue.name, step));
+        let chain = plan.critical_path(|step| self.predict(&queue.name, step));
         Millis(queue.target.0 + (chain.0 as f64 * queue.stretch) as u64)
     }
 
     /// Returns the job's place in the order; the smallest comes first.
     pub fn rank(&self, job: &Job, now: Tick) -> Rank {
-        if job.plan.long_running() {
+        if job.plan.is_long_running() {
             let key = job.accepted.0 as f64;
             let priority = job.queue.priority;
-            return Rank { class: Class::LongRunning, beyond: false, priority, key };
+            return Rank { class: Class::LongRunning, over_share: false, priority, key };
         }
         let objective = self.objective(&job.queue, &job.plan);
         let left = self.left(job);
@@ -178,7 +178,7 @@
         // A job earns a part by its number and a part by its work; what is left decides the price.
         let worth = 0.3 + 0.7 * (left.whole / mean).min(4.0);
         let key = left.work.max(1.0) / worth;
-        Rank { class, beyond: job.beyond, priority: job.queue.priority, key }
+        Rank { class, over_share: job.over_share, priority: job.queue.priority, key }
     }
 
     fn left(&self, job: &Job) -> Left {
@@ -222,7 +222,7 @@
     /// Its tasks must be at work all the time.
     LongRunning,
     /// It is late, and unless it starts soon nobody waits for it any more. It goes first inside a share of the pool's
-    /// room, see [`crate::rescue`].
+    /// room, see [`crate::expiring_budget`].
     Expiring,
     /// It can be done in time.
     InTime,
@@ -238,7 +238,7 @@
     /// What it can still get.
     pub class: Class,
     /// It is more than its customer is owed.
-    pub beyond: bool,
+    pub over_share: bool,
     /// The priority of its queue; 0 comes first.
     pub priority: u32,
     /// Work for each unit of worth.
@@ -247,9 +247,9 @@
 
 impl Rank {
     /// Compares two ranks; the smaller one comes first.
-    pub fn order(self, other: Self) -> std::cmp::Ordering {
+    pub fn compare(self, other: Self) -> std::cmp::Ordering {
         let lasts = |rank: Self| rank.class != Class::LongRunning;
-        let by_owed = lasts(self).cmp(&lasts(other)).then(self.beyond.cmp(&other.beyond));
+        let by_owed = lasts(self).cmp(&lasts(other)).then(self.over_share.cmp(&other.over_share));
         let by_priority = self.priority.cmp(&other.priority);
         by_owed
             .then(self.class.cmp(&other.class))
--- a/reachhead_jobs/src/pool/crash.rs
+++ b/reachhead_jobs/src/pool/crash.rs
@@ -6,12 +6,12 @@
 
 use crate::{
     clock::Tick,
-    crashes::{Crashes, Part},
+    crashes::{CrashRole, Crashes},
     job::Run,
     pool::{NoteKind, Pool},
     ports::RunningEntry,
     task::TaskId,
-    worker::{Involved, Worker},
+    worker::{CrashSuspect, Worker},
 };
 
 /// Tasks that a line of the log names at most; one worker may have dozens.
@@ -50,7 +50,7 @@
         };
         self.pending.remove(id);
         self.review = true;
-        self.over.insert(id.clone(), worker.born);
+        self.over.insert(id.clone(), worker.started_at);
         self.note(
             NoteKind::WorkerDoubted,
             format!("worker={id} over=true why=\"{end}\" runs={}", worker.runs.len()),
@@ -64,39 +64,39 @@
         }
         // A worker that crashed reports no ends, so its tasks would start again as if they had never been there. What planned work
         // ends, or a worker that only is out of reach, has not crashed by its tasks.
-        let planned = worker.info.draining || worker.cordoned > now;
+        let planned = worker.info.draining || worker.cordoned_until > now;
         if end != DeathEvidence::OffList && !planned {
-            for involved in involved.into_iter().chain(worker.lapsed) {
+            for involved in involved.into_iter().chain(worker.crash_suspects) {
                 self.blame_task(involved);
             }
         }
     }
 
     /// Returns the tasks that may be what a worker crashes by if it does so now.
-    pub(super) fn involved(&self, worker: &Worker) -> Vec<Involved> {
+    pub(super) fn involved(&self, worker: &Worker) -> Vec<CrashSuspect> {
         let fresh = self.fresh_on(worker);
         if let [task] = fresh.as_slice() {
-            return vec![Involved { task: *task, part: Part::Own }];
+            return vec![CrashSuspect { task: *task, role: CrashRole::Own }];
         }
         if !fresh.is_empty() {
-            let part = Part::Fresh;
-            return fresh.into_iter().map(|task| Involved { task, part }).collect();
+            let role = CrashRole::Fresh;
+            return fresh.into_iter().map(|task| CrashSuspect { task, role }).collect();
         }
         // A task that runs on and is at work serves its users best by another start, however often hosts go down.
         let ends = |task: &&TaskId| !self.is_lasting(**task);
-        let part = Part::Bystander;
-        worker.runs.keys().filter(ends).map(|task| Involved { task: *task, part }).collect()
+        let role = CrashRole::Bystander;
+        worker.runs.keys().filter(ends).map(|task| CrashSuspect { task: *task, role }).collect()
     }
 
     /// Notes that a worker crashed under a task, and gives the task up if it is the cause.
-    pub(super) fn blame_task(&mut self, Involved { task: id, part }: Involved) {
+    pub(super) fn blame_task(&mut self, CrashSuspect { task: id, role }: CrashSuspect) {
         let Some(job) = self.jobs.get_mut(&id.job).filter(|job| job.ending.is_none()) else {
             return;
         };
         let Some(task) = job.task(id).filter(|task| !task.done) else {
             return;
         };
-        task.crashes.note(part);
+        task.crashes.record(role);
         let Crashes { total, own, .. } = task.crashes;
         if task.crashes.is_conclusive() {
             self.note(NoteKind::TaskGivenUp, format!("task={id} crashes={total} own={own}"));
@@ -114,7 +114,7 @@
             job.and_then(|job| job.task(entry.task)).is_some_and(|task| task.crashes.is_late());
         let over = !late || entry.percent >= 100 || age >= LATE_TIME;
         if over && let Some(worker) = self.workers.get_mut(id) {
-            worker.clear(entry.task);
+            worker.end_trial(entry.task);
         }
     }
 
@@ -136,7 +136,7 @@
             "worker={} runs={} heard={}ms fresh={} tasks={}",
             worker.info.id,
             worker.runs.len(),
-            now.since(worker.heard),
+            now.since(worker.last_contact),
             fresh.len(),
             named.join(",")
         );
@@ -151,7 +151,7 @@
     }
 
     fn describe(&self, worker: &Worker, task: TaskId) -> String {
-        let age = self.run_on(worker, task).map(|run| worker.heard.since(run.since));
+        let age = self.run_on(worker, task).map(|run| worker.last_contact.since(run.ordered_at));
         format!("{task}@{}ms", age.unwrap_or_default())
     }
 
--- a/reachhead_jobs/src/pool/expiring.rs
+++ b/reachhead_jobs/src/pool/expiring.rs
@@ -5,10 +5,10 @@
 use super::starts::Ranked;
 use crate::{
     clock::Tick,
+    expiring_budget::ExpiringBudget,
     job::{Job, StepState},
     order::Class,
     pool::Pool,
-    rescue::Share,
     task::StepId,
 };
 
@@ -18,12 +18,12 @@
         if !ranked.iter().any(|job| job.rank.class == Class::Expiring) {
             return ranked;
         }
-        let mut share = Share::new(self.usable_cores(now), self.late_cores());
+        let mut share = ExpiringBudget::new(self.usable_cores(now), self.late_cores());
         let fits = |job: &Ranked| {
             job.rank.class != Class::Expiring || share.take(self.waiting_cores(job.id))
         };
         let (mut first, after): (Vec<Ranked>, Vec<Ranked>) = ranked.into_iter().partition(fits);
-        let before = |job: &Ranked| !job.rank.beyond && job.rank.class <= Class::InTime;
+        let before = |job: &Ranked| !job.rank.over_share && job.rank.class <= Class::InTime;
         let place = first.partition_point(before);
         first.splice(place..place, after);
         first
@@ -36,17 +36,17 @@
 
     /// Returns what runs have of the workers that were begun too late for their jobs to be in time.
     fn late_cores(&self) -> u64 {
-        let short = self.jobs.values().filter(|job| !job.plan.long_running());
+        let short = self.jobs.values().filter(|job| !job.plan.is_long_running());
         short.map(|job| self.late_cores_of(job)).sum()
     }
 
     fn late_cores_of(&self, job: &Job) -> u64 {
-        let limit = job.accepted + self.experience.objective(&job.queue, &job.plan);
+        let limit = job.accepted + self.estimator.objective(&job.queue, &job.plan);
         let of_step = |(id, state): (&StepId, &StepState)| {
             let step = job.step(*id);
-            let time = self.experience.predict(&job.queue.name, step);
+            let time = self.estimator.predict(&job.queue.name, step);
             let runs = state.tasks.iter().flat_map(|task| &task.runs);
-            step.charge().cores * runs.filter(|run| run.since + time > limit).count() as u64
+            step.charge().cores * runs.filter(|run| run.ordered_at + time > limit).count() as u64
         };
         job.steps.iter().map(of_step).sum()
     }
--- a/reachhead_jobs/src/pool/quota.rs
+++ b/reachhead_jobs/src/pool/quota.rs
@@ -52,17 +52,17 @@
     /// Takes over the customers of a configuration.
     pub fn configure(&mut self, customers: &Arc<Customers>) {
         self.quotas.limits.configure(customers);
-        self.quotas.limited = self.quotas.limits.any_limited();
+        self.quotas.limited = self.quotas.limits.has_quotas();
     }
 
     /// Notes who keeps the ledger now, by the store's word.
     pub fn follow_ledger(&mut self, ledger: FencingToken, now: Tick) {
-        self.quotas.limits.follow(ledger, now);
+        self.quotas.limits.observe_ledger(ledger, now);
     }
 
     /// Takes in what the pool may have running for customers, and states what it has and could use.
     pub fn allot(&mut self, allotment: &Allotment) -> UsageReport {
-        self.quotas.limits.take(allotment, self.token);
+        self.quotas.limits.apply(allotment, self.token);
         let mut demand: BTreeMap<CustomerName, Demand> = BTreeMap::new();
         for (customer, used) in self.count_used() {
             demand.entry(customer).or_default().used = used;
--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -188,8 +188,8 @@
     key: Option<&KeyDigest>,
 ) -> Result<Admission, ErrorKind> {
     let queue = config.route(host, path).ok_or(ErrorKind::NoRoute)?;
-    let customer = key.and_then(|key| config.customers.holder(key));
-    if customer.is_none() && !queue.open {
+    let customer = key.and_then(|key| config.customers.customer_of_key(key));
+    if customer.is_none() && !queue.allows_anonymous {
         return Err(ErrorKind::UnknownKey);
     }
     Ok(Admission { queue: Arc::clone(queue), customer: customer.cloned() })
--- a/reachhead_node/src/fleet/mod.rs
+++ b/reachhead_node/src/fleet/mod.rs
@@ -60,8 +60,8 @@
         record: &lease.record,
         since: lease.since,
         observed: view.leases_first_read_at.is_some_and(|first| lease.since > first),
-        own: owner == Some(&node.settings.node),
-        denied: status.filter(denies_lease).map(|status| status.at),
+        is_self: owner == Some(&node.settings.node),
+        disclaimed_at: status.filter(denies_lease).map(|status| status.at),
     };
     let platform_checks_token = node.settings.host_api.is_none_or(|hosts| hosts.fencing_enforced);
     previous.takeover_wait(node.now(), node.settings.lease_duration, platform_checks_token)
@@ -77,7 +77,7 @@
 
 /// Returns whether there is anything for a fleet owner to do.
 pub fn is_needed(node: &Node) -> bool {
-    let limited = |config: &Arc<Configuration>| config.customers.any_limited();
+    let limited = |config: &Arc<Configuration>| config.customers.has_quotas();
     node.services.hosts.is_some() || node.view().config.as_ref().is_some_and(limited)
 }
 
@@ -194,7 +194,7 @@
     async fn move_hosts(&mut self) {
         let waves: Vec<&Wave> = self.waves.values().map(|active| &active.wave).collect();
         let is_held = |host: &HostId| {
-            self.ended_workers.is_open(host) || waves.iter().any(|wave| wave.is_emptying(host))
+            self.ended_workers.is_open(host) || waves.iter().any(|wave| wave.is_draining(host))
         };
         let moved = self.moves.round(&self.platform_hosts, is_held).await;
         for moved in moved {
@@ -226,8 +226,13 @@
     }
 
     async fn release_lease(&self) {
-        let record =
-            LeaseRecord { owner: None, address: None, term: self.term, settled: true, open: None };
+        let record = LeaseRecord {
+            owner: None,
+            address: None,
+            term: self.term,
+            settled: true,
+            unsettled_for: None,
+        };
         let txn = Txn::new()
             .with_check(lease_key(&name()), Some(self.token))
             .with_write(lease_key(&name()), value(&record));
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -48,9 +48,9 @@
         // `Owner::allot`.
         let knows_older_leases = node.view().leases_revision >= token;
         let repeat_soon = knows_older_leases && round(&node, &mut ledger).await;
-        let pause = if repeat_soon || ledger.is_moving() {
+        let pause = if repeat_soon || ledger.is_converging() {
             REBALANCE_PAUSE
-        } else if ledger.is_short() {
+        } else if ledger.is_throttled() {
             CONTENDED_PAUSE
         } else {
             IDLE_PAUSE
@@ -64,7 +64,7 @@
     let Some(config) = node.view().config.clone() else {
         return false;
     };
-    if !config.customers.any_limited() {
+    if !config.customers.has_quotas() {
         return false;
     }
     let messages = ledger.round(config.pools.keys(), &config.customers, node.now());
@@ -78,7 +78,7 @@
         // The report of a replaced owner does not bind its successor.
         let current = |report: &UsageReport| Some(report.owner) >= lease;
         if let Some(report) = report.filter(current) {
-            has_new_owner |= ledger.stated(&pool, &allotment, report, node.now());
+            has_new_owner |= ledger.process_report(&pool, &allotment, report, node.now());
         }
     }
     has_new_owner
--- a/reachhead_node/src/fleet/usage.rs
+++ b/reachhead_node/src/fleet/usage.rs
@@ -6,7 +6,7 @@
 use reachhead_jobs::{
     balance::{ClockPair, UsageRecord},
     clock::Tick,
-    record::{lease_key, use_key, value},
+    record::{lease_key, usage_key, value},
 };
 use reachhead_ops::event::{Event, emit};
 use reachhead_store::{
@@ -45,7 +45,7 @@
         if self.usage.loaded {
             return;
         }
-        let rows = self.node.services.store.read(vec![use_key(&name())]).await;
+        let rows = self.node.services.store.read(vec![usage_key(&name())]).await;
         self.node.record_store_result(&rows);
         let row = match rows {
             Ok(rows) => rows.into_iter().flatten().next(),
@@ -82,7 +82,7 @@
             return;
         }
         self.usage.next = now + SAVE_PERIOD;
-        let key = use_key(&name());
+        let key = usage_key(&name());
         let txn = Txn::new()
             .with_check(lease_key(&name()), Some(self.token))
             .with_check(key.clone(), self.usage.revision)
@@ -102,7 +102,7 @@
         match pending_write.await {
             Ok(Ok(Commit::Done(revision))) => self.usage.revision = Some(revision),
             Ok(Ok(Commit::Conflict(conflicts))) => {
-                let own = conflicts.into_iter().find(|conflict| conflict.key == use_key(&name()));
+                let own = conflicts.into_iter().find(|conflict| conflict.key == usage_key(&name()));
                 // An owner that has lost its lease learns that from the leases.
                 self.usage.revision = own.and_then(|conflict| conflict.row).map(|row| row.revision);
             }
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -71,7 +71,7 @@
                     order.hosts.len(),
                     record.begun.len(),
                     order.within,
-                    order.most
+                    order.max_down
                 ),
             );
             if record.completed {
@@ -95,11 +95,11 @@
             return;
         };
         let step = active.wave.next(&self.platform_hosts, now);
-        let mut changed = !step.gone.is_empty();
-        for host in &step.gone {
-            active.wave.begun(host);
+        let mut changed = !step.missing.is_empty();
+        for host in &step.missing {
+            active.wave.record_begun(host);
         }
-        changed |= self.take_hosts(name, step.vacate).await;
+        changed |= self.take_hosts(name, step.to_drain).await;
         let done = self.waves.get(name).is_some_and(|active| active.wave.is_done());
         if changed || done {
             self.save(name).await;
@@ -118,7 +118,7 @@
         let now = self.node.now();
         let mode = |host: &HostId| {
             let active = self.waves.get(name);
-            active.map_or(DrainMode::Graceful, |active| active.wave.mode(host, now))
+            active.map_or(DrainMode::Graceful, |active| active.wave.drain_mode(host, now))
         };
         let drain_statuses = join_all(candidates.iter().map(|platform_host| async {
             if self.ended_hosts.contains(&platform_host.host) {
@@ -134,8 +134,8 @@
             let Some(active) = self.waves.get_mut(name) else {
                 return false;
             };
-            if !active.wave.may_take(progress, &self.platform_hosts) {
-                if let Some(waited) = active.wave.note_held(&platform_host.host, now) {
+            if !active.wave.can_maintain(progress, &self.platform_hosts) {
+                if let Some(waited) = active.wave.record_held(&platform_host.host, now) {
                     emit(
                         Event::HostHeld,
                         format_args!(
@@ -146,7 +146,7 @@
                 }
                 continue;
             }
-            active.wave.ordered(&platform_host.host, now);
+            active.wave.record_ordered(&platform_host.host, now);
             let first = !self.ended_workers.is_open(&platform_host.host);
             if let Some(worker) = platform_host.worker.filter(|_| first) {
                 let order = OpenOrder { pool: platform_host.pool, worker, maintenance: true };
@@ -193,7 +193,7 @@
         };
         match result {
             Ok(()) | Err(HostOrderError::Unknown | HostOrderError::Foreign) => {
-                active.wave.begun(host);
+                active.wave.record_begun(host);
                 self.ended_hosts.remove(host);
                 true
             }
@@ -202,7 +202,7 @@
                 false
             }
             Err(HostOrderError::Busy | HostOrderError::NotDone(_)) => {
-                active.wave.not_taken(host);
+                active.wave.record_not_taken(host);
                 if *first {
                     self.ended_workers.withdraw_order(host);
                 }
--- a/reachhead_node/src/order_permit.rs
+++ b/reachhead_node/src/order_permit.rs
@@ -59,7 +59,7 @@
                 return None;
             }
         };
-        if !confirmation.note(sent, found, self.token) {
+        if !confirmation.record(sent, found, self.token) {
             self.lost.store(true, Ordering::Relaxed);
             return None;
         }
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -140,7 +140,7 @@
         let relayed = tables.get(table)?;
         let page = match request.after {
             Some(after) => relayed.log.since(after),
-            None => Some(relayed.log.whole()),
+            None => Some(relayed.log.snapshot()),
         };
         Some((page, relayed.current_at))
     }
