--- a/reachhead_jobs/src/pool/action.rs
+++ b/reachhead_jobs/src/pool/action.rs
@@ -1,4 +1,4 @@
-//! What the owner of a pool decides: orders to carry out, and decisions to log.
+//! Decisions of a pool's owner: orders to carry out, and events to log.
 
 use reachhead_types::{id::WorkerId, size::RunNumber};
 
@@ -7,20 +7,21 @@
     task::{StepId, TaskId},
 };
 
-/// What the owner is to do next.
+/// An order that the owner's event loop carries out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Order a run.
+    /// Start a run.
     Start(WorkerTarget, StartOrder),
     /// Stop a run.
     Stop(WorkerTarget, TaskId, RunNumber),
-    /// Let a run work at this share, in percent.
+    /// Set the pace of a run, in percent.
     Pace(WorkerTarget, TaskId, RunNumber, u32),
     /// Renew a worker's lease and wait for its report.
     Hold(WorkerTarget, HoldOrder),
-    /// Ask which workers may run a step.
+    /// Request approval of workers for a step.
     Advise(StepId, Vec<WorkerId>),
-    /// A worker has had orders with a higher token, so somebody else is in charge.
+    /// A worker rejected this owner's fencing token because it has seen a higher one, so there is a
+    /// newer owner.
     Fenced,
 }
 
@@ -29,48 +30,48 @@
 pub enum StopReason {
     /// Its task is done or its job is over.
     Unneeded,
-    /// It shows no progress.
+    /// It makes no progress.
     Still,
-    /// A task that must be at work needs the room.
+    /// A long-running task needs its capacity.
     Displaced,
-    /// Its host is due for planned work.
+    /// Planned work is about to take its host.
     Planned,
-    /// Its zone is drained, and it has not begun.
+    /// Its zone is drained, and it has not started yet.
     Drained,
-    /// Another member of its gang is not there, so it could only wait in vain.
+    /// Another member of its gang is missing, so it can't make progress.
     Incomplete,
 }
 
-/// A decision that is worth a line in the log.
+/// A decision to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
-    /// What happened.
+    /// The kind of event.
     pub kind: NoteKind,
-    /// What it happened to.
+    /// The details, as `key=value` pairs.
     pub text: String,
 }
 
 /// Kinds of [`Note`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoteKind {
-    /// A job is over.
+    /// A job ended.
     JobEnded,
     /// A run failed or was lost.
     RunLost,
     /// A worker is suspected, lost or replaced.
     WorkerDoubted,
-    /// A worker's life ended while runs were there.
+    /// A worker incarnation ended while runs were assigned to it.
     WorkerCrashed,
-    /// A task is given up, since workers crash under it.
+    /// A task is given up because workers crash while running it.
     TaskGivenUp,
-    /// A run was stopped by a decision of the owner.
+    /// The owner stopped a run.
     RunStopped,
-    /// A predecessor's run was taken over.
+    /// A run that a predecessor started was adopted.
     RunAdopted,
-    /// Tasks of a step were given to workers.
+    /// Tasks of a step were placed on workers.
     StepPlaced,
-    /// Tasks wait since their customer's quota is used up here.
+    /// Tasks wait because their customer's quota is used up in this pool.
     QuotaReached,
-    /// A row that the store refuses is set aside.
+    /// A row that the store rejects is held back.
     RowHeld,
 }
--- a/reachhead_jobs/src/pool/advice.rs
+++ b/reachhead_jobs/src/pool/advice.rs
@@ -1,4 +1,5 @@
-//! Which workers may run the steps of a queue, where that is decided elsewhere.
+//! Cache of external placement approvals: which workers may run the steps of a queue whose
+//! placement is decided by another service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,79 +12,82 @@
     task::StepId,
 };
 
-/// Workers in one call at most, by the platform's contract.
-const CALL_WORKERS: usize = 100;
+/// Maximum number of workers in one approval call, by the platform's contract.
+const MAX_WORKERS_PER_CALL: usize = 100;
 
-/// Part of a ticket's life that is left unused, so that it still holds when the order arrives.
+/// Part of a ticket's validity that is left unused, so that it is still valid when the order
+/// arrives.
 const TICKET_MARGIN: Millis = Millis(300);
 
-/// Pause after a call that failed.
-const FAILED_PAUSE: Millis = Millis(200);
+/// Pause after a call for a step, successful or not, before the next one.
+const CALL_PAUSE: Millis = Millis(200);
 
-/// What is known of one step.
+/// Approvals of one step.
 #[derive(Debug, Clone, Default)]
 struct Advice {
-    asked: bool,
-    retry: Tick,
-    until: Tick,
+    in_flight: bool,
+    retry_at: Tick,
+    expires_at: Tick,
     tickets: BTreeMap<WorkerId, String>,
 }
 
-/// What is known of all steps.
+/// Approvals of all steps.
 #[derive(Debug, Clone, Default)]
-pub(super) struct AdviceBook {
+pub(super) struct AdviceCache {
     steps: BTreeMap<StepId, Advice>,
 }
 
-impl AdviceBook {
-    /// Forgets tickets that have lapsed.
+impl AdviceCache {
+    /// Drops expired approvals.
     pub(super) fn expire(&mut self, now: Tick) {
-        self.steps.retain(|_, advice| advice.asked || advice.until > now || advice.retry > now);
+        self.steps.retain(|_, advice| {
+            advice.in_flight || advice.expires_at > now || advice.retry_at > now
+        });
     }
 
-    /// A worker did not take its ticket.
+    /// Drops a ticket that its worker rejected.
     pub(super) fn refuse(&mut self, step: StepId, worker: &WorkerId) {
         if let Some(advice) = self.steps.get_mut(&step) {
             advice.tickets.remove(worker);
         }
     }
 
-    /// Returns the worker's ticket for the step.
+    /// Returns the worker's valid ticket for the step.
     pub(super) fn ticket(&self, step: StepId, worker: &WorkerId, now: Tick) -> Option<&String> {
-        let advice = self.steps.get(&step).filter(|advice| advice.until > now)?;
+        let advice = self.steps.get(&step).filter(|advice| advice.expires_at > now)?;
         advice.tickets.get(worker)
     }
 
-    /// Returns the workers that may run the step, if that is known.
+    /// Returns the workers approved for the step, or `None` without a valid answer.
     pub(super) fn approved(&self, step: StepId, now: Tick) -> Option<BTreeSet<WorkerId>> {
-        let advice = self.steps.get(&step).filter(|advice| advice.until > now)?;
+        let advice = self.steps.get(&step).filter(|advice| advice.expires_at > now)?;
         Some(advice.tickets.keys().cloned().collect())
     }
 }
 
 impl Pool {
-    /// Asks for the workers that may run a step, unless that is under way.
-    pub(super) fn ask_advice(&mut self, step: StepId, now: Tick) {
+    /// Requests approvals for a step, unless a call is in flight or was just made.
+    pub(super) fn request_advice(&mut self, step: StepId, now: Tick) {
         let advice = self.advice.steps.entry(step).or_default();
-        if advice.asked || advice.retry > now {
+        if advice.in_flight || advice.retry_at > now {
             return;
         }
         let workers: Vec<WorkerId> = self
             .workers
             .values()
             .filter(|worker| worker.accepts(now))
-            .take(CALL_WORKERS)
+            .take(MAX_WORKERS_PER_CALL)
             .map(|worker| worker.info.id.clone())
             .collect();
         if workers.is_empty() {
             return;
         }
-        advice.asked = true;
+        advice.in_flight = true;
         self.actions.push(Action::Advise(step, workers));
     }
 
-    /// Takes in which workers may run a step; `None` if the call failed. The tickets' life counts
-    /// from `sent`, when the call was made.
+    /// Applies the result of an approval call; `None` if the call failed. Validity counts from
+    /// `sent`, the time of the call.
     pub fn advised(
         &mut self,
         step: StepId,
@@ -99,17 +103,17 @@
         let Some(advice) = self.advice.steps.get_mut(&step) else {
             return;
         };
-        advice.asked = false;
+        advice.in_flight = false;
         match approvals {
             Some(approvals) => {
-                advice.until = sent + Millis(validity.0.saturating_sub(TICKET_MARGIN.0));
-                advice.retry = now + FAILED_PAUSE;
+                advice.expires_at = sent + Millis(validity.0.saturating_sub(TICKET_MARGIN.0));
+                advice.retry_at = now + CALL_PAUSE;
                 advice.tickets = approvals
                     .into_iter()
                     .map(|approval| (approval.worker, approval.ticket))
                     .collect();
             }
-            None => advice.retry = now + FAILED_PAUSE,
+            None => advice.retry_at = now + CALL_PAUSE,
         }
     }
 }
--- a/reachhead_jobs/src/pool/crash.rs
+++ b/reachhead_jobs/src/pool/crash.rs
@@ -1,4 +1,4 @@
-//! Workers whose lives are over, and what that says of the tasks that were there.
+//! Dead workers, and attribution of their crashes to the tasks that ran there.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -14,21 +14,21 @@
     worker::{Involved, Worker},
 };
 
-/// Tasks that a line of the log names at most; one worker may have dozens.
-const NAMED_TASKS: usize = 8;
+/// Maximum number of tasks named in one log line; a worker may have dozens.
+const MAX_NAMED_TASKS: usize = 8;
 
-/// How long nothing is started beside a task that may crash its worker late in its run; one that takes hours must not have a worker
-/// to itself for them.
-const LATE_TIME: Millis = Millis(20_000);
+/// Longest trial of a task that may crash its worker late in its run. Nothing else is started on
+/// the worker during the trial, and a task that takes hours must not block a worker for that long.
+const MAX_LATE_TRIAL: Millis = Millis(20_000);
 
-/// On whose word a worker's life is over.
+/// Evidence that a worker incarnation is dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeathEvidence {
-    /// Another life answers at its address.
+    /// Another incarnation answers at its address.
     Replaced,
-    /// Its host answers that nobody listens, and the platform has no host with it.
+    /// Its host refuses connections, and the platform has no host with this worker.
     Unhosted,
-    /// It does not answer, is off the platform's list, and every lease there has lapsed.
+    /// It does not answer, is not on the platform's list, and all its leases have expired.
     OffList,
 }
 
@@ -43,38 +43,39 @@
 }
 
 impl Pool {
-    /// A life of a worker is over, and with it everything that ran there.
+    /// Removes a dead worker incarnation and all its runs.
     pub fn worker_died(&mut self, id: &WorkerId, end: DeathEvidence, now: Tick) {
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
         self.pending.remove(id);
         self.review = true;
-        self.over.insert(id.clone(), worker.born);
+        self.dead_incarnations.insert(id.clone(), worker.born);
         self.note(
             NoteKind::WorkerDoubted,
             format!("worker={id} over=true why=\"{end}\" runs={}", worker.runs.len()),
         );
         if !worker.runs.is_empty() {
-            self.note_crash(&worker, now);
+            self.log_crash(&worker, now);
         }
-        let involved = self.involved(&worker);
+        let involved = self.crash_suspects(&worker);
         for (task, charge) in &worker.runs {
-            self.take_run(id, *task, charge.run);
+            self.remove_run(id, *task, charge.run);
         }
-        // A worker that crashed reports no ends, so its tasks would start again as if they had never been there. What planned work
-        // ends, or a worker that only is out of reach, has not crashed by its tasks.
+        // A crashed worker reports no ends, so its tasks would restart without any record of the
+        // crash. Workers that end by planned work, or that are merely unreachable, did not crash
+        // because of their tasks.
         let planned = worker.info.draining || worker.cordoned > now;
         if end != DeathEvidence::OffList && !planned {
             for involved in involved.into_iter().chain(worker.lapsed) {
-                self.blame_task(involved);
+                self.count_crash(involved);
             }
         }
     }
 
-    /// Returns the tasks that may be what a worker crashes by if it does so now.
-    pub(super) fn involved(&self, worker: &Worker) -> Vec<Involved> {
-        let fresh = self.fresh_on(worker);
+    /// Returns the tasks that may have caused a crash if the worker crashed now.
+    pub(super) fn crash_suspects(&self, worker: &Worker) -> Vec<Involved> {
+        let fresh = self.starting_tasks(worker);
         if let [task] = fresh.as_slice() {
             return vec![Involved { task: *task, part: Part::Own }];
         }
@@ -82,14 +83,15 @@
             let part = Part::Fresh;
             return fresh.into_iter().map(|task| Involved { task, part }).collect();
         }
-        // A task that runs on and is at work serves its users best by another start, however often hosts go down.
-        let ends = |task: &&TaskId| !self.is_lasting(**task);
+        // A long-running task that is up is best served by a restart, however often hosts fail.
+        let is_short = |task: &&TaskId| !self.is_long_running(**task);
         let part = Part::Bystander;
-        worker.runs.keys().filter(ends).map(|task| Involved { task: *task, part }).collect()
+        worker.runs.keys().filter(is_short).map(|task| Involved { task: *task, part }).collect()
     }
 
-    /// Notes that a worker crashed under a task, and gives the task up if it is the cause.
-    pub(super) fn blame_task(&mut self, Involved { task: id, part }: Involved) {
+    /// Counts a crash against a task, and gives the task up if the crashes prove it to be the
+    /// cause.
+    pub(super) fn count_crash(&mut self, Involved { task: id, part }: Involved) {
         let Some(job) = self.jobs.get_mut(&id.job).filter(|job| job.ending.is_none()) else {
             return;
         };
@@ -100,38 +102,42 @@
         let Crashes { total, own, .. } = task.crashes;
         if task.crashes.is_conclusive() {
             self.note(NoteKind::TaskGivenUp, format!("task={id} crashes={total} own={own}"));
-            self.settle(id.job);
+            self.decide_ending(id.job);
         } else if task.crashes.is_suspect() {
-            self.mark(id.job);
+            self.mark_dirty(id.job);
         }
     }
 
-    /// Ends the trial of a task that has begun to work, unless it may be one that crashes workers later: that is tried until it
-    /// is at work, or has worked for a while.
+    /// Ends the trial of a task that has made progress. A task that may crash its worker late is
+    /// tried until it is complete or [`MAX_LATE_TRIAL`] has passed.
     pub(super) fn clear_trial(&mut self, id: &WorkerId, entry: &RunningEntry, age: Millis) {
         let job = self.jobs.get_mut(&entry.task.job);
-        let late =
+        let is_late =
             job.and_then(|job| job.task(entry.task)).is_some_and(|task| task.crashes.is_late());
-        let over = !late || entry.percent >= 100 || age >= LATE_TIME;
-        if over && let Some(worker) = self.workers.get_mut(id) {
+        let is_over = !is_late || entry.percent >= 100 || age >= MAX_LATE_TRIAL;
+        if is_over && let Some(worker) = self.workers.get_mut(id) {
             worker.clear(entry.task);
         }
     }
 
-    /// Forgets the crashes under a task that has been at work for long.
-    pub(super) fn forgive(&mut self, id: TaskId) {
+    /// Resets the crash count of a task that has been up for long.
+    pub(super) fn clear_crashes(&mut self, id: TaskId) {
         let task = self.jobs.get_mut(&id.job).and_then(|job| job.task(id));
         if let Some(task) = task.filter(|task| !task.crashes.is_empty()) {
             task.crashes = Crashes::default();
-            self.mark(id.job);
+            self.mark_dirty(id.job);
         }
     }
 
-    /// Names the runs that had not begun to work: starting one of them may be what the worker crashed by.
-    pub(super) fn note_crash(&mut self, worker: &Worker, now: Tick) {
-        let fresh = self.fresh_on(worker);
-        let named: Vec<String> =
-            fresh.iter().take(NAMED_TASKS).map(|task| self.describe(worker, *task)).collect();
+    /// Logs a crash with the runs that were still starting, since starting one of them may have
+    /// caused it.
+    pub(super) fn log_crash(&mut self, worker: &Worker, now: Tick) {
+        let fresh = self.starting_tasks(worker);
+        let named: Vec<String> = fresh
+            .iter()
+            .take(MAX_NAMED_TASKS)
+            .map(|task| self.describe_run(worker, *task))
+            .collect();
         let text = format!(
             "worker={} runs={} heard={}ms fresh={} tasks={}",
             worker.info.id,
@@ -143,14 +149,14 @@
         self.note(NoteKind::WorkerCrashed, text);
     }
 
-    /// Returns the tasks on a worker that no report has shown at work.
-    pub(super) fn fresh_on(&self, worker: &Worker) -> Vec<TaskId> {
+    /// Returns the worker's tasks that no report has shown as making progress.
+    pub(super) fn starting_tasks(&self, worker: &Worker) -> Vec<TaskId> {
         let is_fresh =
             |task: &TaskId| self.run_on(worker, *task).is_some_and(|run| !run.has_worked());
         worker.runs.keys().copied().filter(is_fresh).collect()
     }
 
-    fn describe(&self, worker: &Worker, task: TaskId) -> String {
+    fn describe_run(&self, worker: &Worker, task: TaskId) -> String {
         let age = self.run_on(worker, task).map(|run| worker.heard.since(run.since));
         format!("{task}@{}ms", age.unwrap_or_default())
     }
--- a/reachhead_jobs/src/pool/drain.rs
+++ b/reachhead_jobs/src/pool/drain.rs
@@ -1,8 +1,8 @@
-//! Zones that operators drain: nothing new is started there, and what runs there may finish.
+//! Zones that operators drain: no task is started there, and running tasks may finish.
 //!
-//! Load: a zone is drained under load, and taken back seconds later, while some processes do not reach the store. An owner that
-//! can't know what operators want starts nothing anywhere once its knowledge is older than the time in which a drain must be
-//! in force.
+//! A process that can't reach the store may miss a drain or its end. An owner that does not know
+//! the current drains starts nothing anywhere once its knowledge is older than the time within
+//! which a drain has to take effect.
 
 use std::collections::BTreeSet;
 
@@ -10,31 +10,31 @@
 
 use crate::{clock::Tick, pool::Pool};
 
-/// The zones that operators drain, as an owner knows them.
+/// The drained zones, as last read.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DrainedZones {
     zones: BTreeSet<ZoneName>,
-    /// Until when that may be gone by; `None` before an owner was told.
-    until: Option<Tick>,
+    /// When the reading expires; `None` before the first one.
+    valid_until: Option<Tick>,
 }
 
 impl DrainedZones {
-    /// Tells whether the zone is drained.
+    /// Returns whether the zone is drained.
     pub(super) fn contains(&self, zone: &ZoneName) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Tells whether it is known well enough for a start which zones are drained. A pool that nobody has told of
-    /// zones is not held up by them.
-    pub(super) fn known(&self, now: Tick) -> bool {
-        self.until.is_none_or(|until| now <= until)
+    /// Returns whether the drained zones are known well enough to start tasks. A pool that never
+    /// received any is not blocked by them.
+    pub(super) fn is_current(&self, now: Tick) -> bool {
+        self.valid_until.is_none_or(|until| now <= until)
     }
 }
 
 impl Pool {
-    /// Takes over which zones operators drain, as that was known at `seen`.
+    /// Replaces the drained zones by those that were read at `seen`.
     pub fn drain_zones(&mut self, zones: &BTreeSet<ZoneName>, seen: Tick) {
-        self.drained.until = Some(seen + self.timeouts.drain);
+        self.drained.valid_until = Some(seen + self.timeouts.drain);
         if self.drained.zones == *zones {
             return;
         }
--- a/reachhead_jobs/src/pool/drain_worker.rs
+++ b/reachhead_jobs/src/pool/drain_worker.rs
@@ -1,4 +1,5 @@
-//! Emptying a worker before planned work takes its host, inside what each step may miss.
+//! Draining a worker before planned work takes its host, within each step's disruption budget
+//! (`may_miss`).
 
 use reachhead_types::{id::WorkerId, size::Millis};
 
@@ -10,64 +11,64 @@
     task::TaskId,
 };
 
-/// How long a worker gets nothing new after it was asked to be emptied. The asker asks again several
-/// times a second; if it is gone, the worker is used again.
-const CORDON_TIME: Millis = Millis(2500);
+/// How long a drain request cordons a worker. Requests are repeated several times a second; when
+/// they stop, the worker is used again.
+const CORDON_DURATION: Millis = Millis(2500);
 
-/// Slack for a predecessor's order to stop that is still under way.
+/// Slack for a predecessor's stop order that is still in flight.
 const STOP_SLACK: Millis = Millis(300);
 
-/// How long a pool asks for one more host after a task that has to leave found no place.
-const SURGE_TIME: Millis = Millis(2500);
+/// How long a pool requests one extra host after a task that has to move found no place.
+const SURGE_DURATION: Millis = Millis(2500);
 
-/// What becomes of short tasks on a worker that is emptied.
+/// How short tasks on a drained worker are treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainMode {
     /// They may finish.
     Graceful,
-    /// They are stopped, and go on elsewhere.
+    /// They are stopped and restarted elsewhere.
     Forced,
 }
 
-/// How far a worker is emptied.
+/// How far a worker is drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainProgress {
     /// The pool does not have the worker.
     Unknown,
-    /// Something protected is there, and may not be taken away yet.
+    /// It has a protected task that may not be disrupted yet.
     Protected,
-    /// Only short tasks are there.
+    /// It has only short tasks.
     Short,
-    /// Nothing is there.
+    /// It has no tasks.
     Empty,
 }
 
 impl Pool {
-    /// Gives a worker nothing new, moves away what may be moved, and tells how far that is.
+    /// Cordons a worker, moves the tasks that may be moved, and returns the progress.
     pub fn drain_worker(&mut self, id: &WorkerId, mode: DrainMode, now: Tick) -> DrainProgress {
-        // Until all workers have answered a new owner it does not know what is where, and what its
-        // predecessor stops may still be reported as at work for a while. A worker that has answered that
-        // it runs nothing may go all the same.
-        let quiet = self.quiet_since().is_some_and(|since| since <= now);
-        let settled = quiet && self.listed && self.pending.is_empty();
-        let until = now + CORDON_TIME;
+        // Until all workers have answered, a new owner does not know where tasks run, and runs that
+        // its predecessor stops may still be reported as active. A worker that has reported no runs
+        // may be released all the same.
+        let quiet = self.predecessor_stops_end().is_some_and(|since| since <= now);
+        let settled = quiet && self.workers_listed && self.pending.is_empty();
+        let until = now + CORDON_DURATION;
         if self.workers.contains_key(id) && self.is_needed(id, now) {
-            // One more host is asked for, and the worker is kept for tasks that must be at work.
-            self.surge_until = now + SURGE_TIME;
+            // Requests one extra host, and keeps this worker for tasks that must be running.
+            self.surge_until = now + SURGE_DURATION;
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.cordoned = Tick(0);
             }
             return DrainProgress::Protected;
         }
         let Some(worker) = self.workers.get_mut(id) else {
-            // It may be listed any moment, and must get nothing then.
+            // It may be listed at any moment, and must not get tasks then.
             self.cordons.insert(id.clone(), until);
             return if settled { DrainProgress::Unknown } else { DrainProgress::Protected };
         };
         worker.cordoned = until;
-        // Ends that are not recorded are known to the worker alone if this owner is lost.
+        // Only the worker still has ends that are not recorded, should this owner be lost.
         let recorded = worker.seen >= worker.noted;
         if worker.is_bare() && recorded {
             return DrainProgress::Empty;
@@ -93,42 +94,42 @@
             let Some(run) = run.filter(|run| run.phase == Phase::Working).cloned() else {
                 continue;
             };
-            if short && mode == DrainMode::Graceful || !short && !self.may_take(task) {
+            if short && mode == DrainMode::Graceful || !short && !self.can_disrupt(task) {
                 continue;
             }
-            if short || self.has_place(task, now) {
+            if short || self.can_move(task, now) {
                 self.stop_run(task, &run, StopReason::Planned, now);
             } else {
-                self.surge_until = now + SURGE_TIME;
+                self.surge_until = now + SURGE_DURATION;
             }
         }
         progress
     }
 
-    /// Returns when every stop that a predecessor ordered is over.
-    fn quiet_since(&self) -> Option<Tick> {
+    /// Returns when every stop that a predecessor ordered has completed.
+    fn predecessor_stops_end(&self) -> Option<Tick> {
         self.settled_at.map(|at| at + Millis(self.timeouts.stop.0 + STOP_SLACK.0))
     }
 
-    /// Tells whether a worker can't be emptied now: no other takes tasks, or tasks that must be at work
-    /// wait for a place and this one has such tasks anyway.
+    /// Returns whether a worker can't be drained now: no other worker takes tasks, or long-running
+    /// tasks are unplaced while this worker has such tasks.
     fn is_needed(&self, id: &WorkerId, now: Tick) -> bool {
         let others = self.workers.values().filter(|other| other.info.id != *id);
         let alone = others.filter(|other| other.accepts(now)).count() == 0;
-        let has_lasting = self.jobs.values().any(|job| job.plan.long_running());
-        if alone && has_lasting {
+        let has_long_running = self.jobs.values().any(|job| job.plan.long_running());
+        if alone && has_long_running {
             return true;
         }
-        let lasts = |task: &TaskId| {
+        let is_long_running = |task: &TaskId| {
             self.jobs
                 .get(&task.job)
                 .is_some_and(|job| job.plan.steps[task.step as usize].long_running)
         };
-        self.homeless() && self.workers[id].runs.keys().any(lasts)
+        self.has_unplaced_long_running() && self.workers[id].runs.keys().any(is_long_running)
     }
 
-    /// Tells whether a task that must be at work waits for a place.
-    fn homeless(&self) -> bool {
+    /// Returns whether a long-running task has no run.
+    fn has_unplaced_long_running(&self) -> bool {
         self.jobs.values().filter(|job| job.ending.is_none()).any(|job| {
             job.steps.iter().any(|(id, state)| {
                 job.step(*id).long_running && state.tasks.iter().any(|task| task.runs.is_empty())
@@ -136,9 +137,9 @@
         })
     }
 
-    /// Tells whether a task that has to leave its worker can go on elsewhere, be it in the place of
-    /// short tasks.
-    fn has_place(&self, task: TaskId, now: Tick) -> bool {
+    /// Returns whether a task that has to move fits on another worker, possibly after evicting
+    /// short tasks there.
+    fn can_move(&self, task: TaskId, now: Tick) -> bool {
         let job = &self.jobs[&task.job];
         let step = &job.plan.steps[task.step as usize];
         let wanted = Wanted {
@@ -156,13 +157,13 @@
         })
     }
 
-    /// Tells whether planned work may end the task's run now. Whether it is at work does not matter:
-    /// the report that says so may be a second old.
-    fn may_take(&self, task: TaskId) -> bool {
+    /// Returns whether planned work may stop the task's run now. The run's own state does not
+    /// matter: a report that shows it as running may be a second old.
+    fn can_disrupt(&self, task: TaskId) -> bool {
         let job = &self.jobs[&task.job];
         let step = &job.plan.steps[task.step as usize];
-        let quiet = self.quiet_since();
-        // A report from before that may have a predecessor's run that the predecessor has stopped.
+        let quiet = self.predecessor_stops_end();
+        // An earlier report may show a run that the predecessor has stopped meanwhile.
         let certain = |run: &Run| {
             let worker = self.workers.get(&run.worker).filter(|worker| !worker.silent);
             let sample = worker.and_then(|worker| worker.sample);
--- a/reachhead_jobs/src/pool/expiring.rs
+++ b/reachhead_jobs/src/pool/expiring.rs
@@ -1,4 +1,5 @@
-//! Where expiring jobs stand in a round: first, inside their share of the pool's room.
+//! Ordering of expiring jobs in a scheduling round: first, within their share of the pool's
+//! capacity.
 
 use reachhead_types::id::JobId;
 
@@ -13,8 +14,8 @@
 };
 
 impl Pool {
-    /// Puts expiring jobs that are beyond their share of the room behind those that can be in time.
-    pub(super) fn bound_expiring(&self, ranked: Vec<Ranked>, now: Tick) -> Vec<Ranked> {
+    /// Moves expiring jobs that exceed their share of the capacity behind jobs that can be in time.
+    pub(super) fn cap_expiring(&self, ranked: Vec<Ranked>, now: Tick) -> Vec<Ranked> {
         if !ranked.iter().any(|job| job.rank.class == Class::Expiring) {
             return ranked;
         }
@@ -34,24 +35,24 @@
         usable.map(|worker| worker.info.capacity.cores).sum()
     }
 
-    /// Returns what runs have of the workers that were begun too late for their jobs to be in time.
+    /// Returns the cores held by runs that were started too late for their jobs to be in time.
     fn late_cores(&self) -> u64 {
         let short = self.jobs.values().filter(|job| !job.plan.long_running());
         short.map(|job| self.late_cores_of(job)).sum()
     }
 
     fn late_cores_of(&self, job: &Job) -> u64 {
-        let limit = job.accepted + self.experience.objective(&job.queue, &job.plan);
+        let limit = job.accepted + self.estimator.objective(&job.queue, &job.plan);
         let of_step = |(id, state): (&StepId, &StepState)| {
             let step = job.step(*id);
-            let time = self.experience.predict(&job.queue.name, step);
+            let time = self.estimator.predict(&job.queue.name, step);
             let runs = state.tasks.iter().flat_map(|task| &task.runs);
             step.charge().cores * runs.filter(|run| run.since + time > limit).count() as u64
         };
         job.steps.iter().map(of_step).sum()
     }
 
-    /// Returns what the tasks of a job that may start now would take.
+    /// Returns the cores that a job's ready tasks would take.
     fn waiting_cores(&self, id: JobId) -> u64 {
         let job = &self.jobs[&id];
         let of_step = |(id, state): (&StepId, &StepState)| {
--- a/reachhead_jobs/src/pool/flush.rs
+++ b/reachhead_jobs/src/pool/flush.rs
@@ -1,4 +1,4 @@
-//! What is written to the store, and what follows once it is.
+//! Write batching: transactions of a pool's owner to the store, and their results.
 
 use std::collections::BTreeMap;
 
@@ -10,51 +10,53 @@
 
 use crate::{
     clock::Tick,
-    pool::{Action, Closed, NoteKind, Pool, roster::RosterUpdate},
+    pool::{Action, ClosedJob, NoteKind, Pool, roster::RosterUpdate},
     record::{Ending, fence_key, final_key, job_key, lease_key, progress_key, value},
     shard::Shard,
     worker::Poll,
 };
 
-/// Entries of a transaction at most, by the platform's contract.
-const ENTRIES_MOST: usize = 100;
+/// Maximum number of entries in a transaction, by the platform's contract.
+const MAX_ENTRIES: usize = 100;
 
-/// Entries that one job takes at most: a check, a row and two deletions.
-const JOB_ENTRIES: usize = 4;
+/// Maximum number of entries that one job takes: a check, a write and two deletions.
+const MAX_JOB_ENTRIES: usize = 4;
 
-/// What a transaction says of a job.
+/// A job in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Entry {
+pub(super) struct JobEntry {
     pub(super) id: JobId,
     ending: Option<Ending>,
 }
 
-/// What an owner's transactions are about. Those of one lane follow each other, others go on beside them.
+/// Sequence of an owner's transactions. Those in one lane are strictly ordered, while lanes proceed
+/// in parallel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// The workers that the pool may have used.
+    /// The roster of workers that the pool may have used.
     Roster,
-    /// Jobs in one part of the store.
+    /// The jobs in one shard of the store.
     Jobs(Shard),
 }
 
-/// A lane in which something is to be written.
+/// A lane with pending writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Due {
     /// The lane.
     pub lane: Lane,
-    /// Callers wait for it: it ends jobs, or lets new workers be used, or tasks start that may crash them.
+    /// Something waits for the write: it ends jobs, lets new workers be used, or lets tasks start
+    /// that may crash their workers.
     pub urgent: bool,
 }
 
-/// A transaction and what it stands for.
+/// A transaction and the changes that it records.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
     /// The transaction.
     pub txn: Txn,
     /// Its lane.
     pub lane: Lane,
-    pub(super) jobs: Vec<Entry>,
+    pub(super) jobs: Vec<JobEntry>,
     pub(super) roster: Option<RosterUpdate>,
 }
 
@@ -65,31 +67,34 @@
 }
 
 impl Pool {
-    /// Returns the lanes in which something is to be written.
+    /// Returns the lanes with pending writes.
     pub fn due(&self) -> Vec<Due> {
         let mut lanes: BTreeMap<Lane, bool> = BTreeMap::new();
         if self.roster.is_due() {
             lanes.insert(Lane::Roster, true);
         }
         for id in self.dirty.iter().filter(|id| self.is_writable(**id)) {
-            let urgent = self.is_awaited(*id);
+            let urgent = self.is_urgent(*id);
             *lanes.entry(Lane::Jobs(Shard::of(*id))).or_default() |= urgent;
         }
         lanes.into_iter().map(|(lane, urgent)| Due { lane, urgent }).collect()
     }
 
-    /// Tells whether a job is over and that is not recorded, or whether a task waits until crashes under it are.
-    fn is_awaited(&self, id: JobId) -> bool {
+    /// Returns whether a job's end is not recorded yet, or a task waits until crashes under it are
+    /// recorded.
+    fn is_urgent(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some_and(|job| job.ending.is_some() || job.has_suspects())
     }
 
-    /// Tells whether a job's row may be written: the store has not just refused it. That it is over makes it short.
+    /// Returns whether a job's row may be written, which it is not while a rejected progress row is
+    /// held back. The final record of an ended job is short, so it is always written.
     fn is_writable(&self, id: JobId) -> bool {
-        let over = self.jobs.get(&id).is_some_and(|job| job.ending.is_some());
-        over || !self.refusals.holds_job(id)
+        let has_ended = self.jobs.get(&id).is_some_and(|job| job.ending.is_some());
+        has_ended || !self.refusals.holds_job(id)
     }
 
-    /// Returns what is to be written next in a lane, if anything is. All of it depends on the lease.
+    /// Returns the next transaction of a lane, if there are pending writes. Every transaction is
+    /// fenced by the lease.
     pub fn batch(&mut self, lane: Lane, wall: Millis) -> Option<Batch> {
         match lane {
             Lane::Roster => self.roster_batch(),
@@ -103,8 +108,8 @@
         if ids.is_empty() {
             return None;
         }
-        // Callers wait for the jobs that are over; workers keep what is not recorded of the others.
-        ids.sort_by_key(|id| !self.is_awaited(*id));
+        // Callers wait for jobs that have ended; of the others, workers keep what is not recorded.
+        ids.sort_by_key(|id| !self.is_urgent(*id));
         let fence = self.fences.get(&shard).copied();
         let mut batch = Batch {
             txn: Txn::new().with_check(fence_key(&self.name, shard), fence),
@@ -112,8 +117,8 @@
             jobs: Vec::new(),
             roster: None,
         };
-        for id in ids.into_iter().take(self.refusals.most(Lane::Jobs(shard))) {
-            if batch.entries() + JOB_ENTRIES > ENTRIES_MOST {
+        for id in ids.into_iter().take(self.refusals.max_items(Lane::Jobs(shard))) {
+            if batch.entries() + MAX_JOB_ENTRIES > MAX_ENTRIES {
                 break;
             }
             self.write_job(&mut batch, id, wall);
@@ -148,22 +153,22 @@
             }
         }
         batch.txn = txn;
-        batch.jobs.push(Entry { id, ending: job.ending });
+        batch.jobs.push(JobEntry { id, ending: job.ending });
     }
 
-    /// Takes in that a batch is in force.
+    /// Applies a committed batch.
     pub fn committed(&mut self, batch: &Batch, revision: Revision, now: Tick) {
-        self.refusals.taken(batch.lane);
+        self.refusals.batch_accepted(batch.lane);
         if let Some(update) = &batch.roster {
-            self.rostered(update, revision);
+            self.apply_roster_update(update, revision);
         }
         for entry in &batch.jobs {
-            self.recorded(entry, revision, now);
+            self.apply_job_entry(entry, revision, now);
         }
     }
 
-    /// Lets the workers forget the ends of a job that are recorded.
-    fn forget(&mut self, id: JobId, now: Tick) {
+    /// Lets workers drop the ends of a job that are recorded, and polls those workers at once.
+    fn acknowledge_ends(&mut self, id: JobId, now: Tick) {
         for worker in self.workers.values_mut() {
             let seen = worker.seen;
             worker.record(id);
@@ -175,34 +180,34 @@
         }
     }
 
-    fn recorded(&mut self, entry: &Entry, revision: Revision, now: Tick) {
+    fn apply_job_entry(&mut self, entry: &JobEntry, revision: Revision, now: Tick) {
         let Some(job) = self.jobs.get_mut(&entry.id) else {
             return;
         };
         let Some(ending) = entry.ending else {
             job.revision = Some(revision);
-            // What came in while the transaction was under way stays to be written.
+            // Changes made while the transaction was in flight are still to be written.
             if !job.changed {
                 self.dirty.remove(&entry.id);
             }
-            self.forget(entry.id, now);
+            self.acknowledge_ends(entry.id, now);
             return;
         };
         let age = now.since(job.accepted);
         let customer = job.customer.clone();
-        // Ends that came in meanwhile change nothing any more.
+        // Ends reported meanwhile no longer matter.
         self.dirty.remove(&entry.id);
         for worker in self.workers.values_mut() {
             worker.write(entry.id);
         }
-        self.forget(entry.id, now);
-        self.closed.insert(entry.id, Closed { ending, customer, at: now });
+        self.acknowledge_ends(entry.id, now);
+        self.closed.insert(entry.id, ClosedJob { ending, customer, at: now });
         self.note(NoteKind::JobEnded, format!("job={} ending={ending:?} after={age}ms", entry.id));
-        self.dismiss(entry.id);
+        self.retire_job(entry.id);
     }
 
-    /// Stops what still runs of a job that is over, and forgets the job.
-    fn dismiss(&mut self, id: JobId) {
+    /// Stops the remaining runs of an ended job, and removes the job if there are none.
+    fn retire_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -220,29 +225,29 @@
         }
     }
 
-    /// Takes in that a batch is not in force since rows are not what was thought. Returns whether
-    /// this owner is still in charge.
+    /// Applies the conflicts of a refused batch. Returns whether this owner still holds its lease
+    /// and fences.
     pub fn refused(&mut self, conflicts: &[Conflict]) -> bool {
-        let mut holds: BTreeMap<Key, Revision> = self
+        let mut held: BTreeMap<Key, Revision> = self
             .fences
             .iter()
             .map(|(shard, revision)| (fence_key(&self.name, *shard), *revision))
             .collect();
-        holds.insert(lease_key(&self.name), Revision(self.token.0));
+        held.insert(lease_key(&self.name), Revision(self.token.0));
         for conflict in conflicts {
             let found = conflict.row.as_ref().map(|row| row.revision);
-            if let Some(held) = holds.get(&conflict.key) {
+            if let Some(held) = held.get(&conflict.key) {
                 if found != Some(*held) {
                     return false;
                 }
             } else if !self.correct_roster(conflict) {
-                self.correct(conflict, found);
+                self.correct_revision(conflict, found);
             }
         }
         true
     }
 
-    fn correct(&mut self, conflict: &Conflict, found: Option<Revision>) {
+    fn correct_revision(&mut self, conflict: &Conflict, found: Option<Revision>) {
         for &id in &self.dirty {
             if let Some(job) = self.jobs.get_mut(&id)
                 && progress_key(&self.name, id) == conflict.key
@@ -252,7 +257,8 @@
         }
     }
 
-    /// Takes in the store's decision on a batch; returns whether this owner is still in charge.
+    /// Applies the store's result of a batch. Returns whether this owner still holds its lease and
+    /// fences.
     pub fn decided(&mut self, batch: &Batch, commit: &Commit, now: Tick) -> bool {
         match commit {
             Commit::Done(revision) => {
@@ -260,11 +266,11 @@
                 true
             }
             Commit::Conflict(conflicts) => {
-                let mine = self.refused(conflicts);
-                if !mine {
+                let is_owner = self.refused(conflicts);
+                if !is_owner {
                     self.actions.push(Action::Fenced);
                 }
-                mine
+                is_owner
             }
         }
     }
--- a/reachhead_jobs/src/pool/load.rs
+++ b/reachhead_jobs/src/pool/load.rs
@@ -1,4 +1,4 @@
-//! How much room a pool needs now, for whoever moves hosts between pools.
+//! Capacity demand of a pool, as input to balancing hosts between pools.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,83 +15,85 @@
     pool::Pool,
 };
 
-/// Time over which the work that arrives is averaged: long enough for a few jobs of a queue of large
+/// Window over which arriving work is averaged: long enough for a few jobs of a queue of large
 /// ones, short enough to notice a burst within its first second.
 const RATE_WINDOW: Millis = Millis(800);
 
-/// How far ahead a rate that rises is taken to go on rising: until a host that is asked for now takes work, 1.5 s for
-/// its move and up to 0.7 s for the order, its registration and its first answer. With less, the callers of a rise wait for
-/// hosts; with more, hosts are fetched for a rise that has ended.
-const TREND_TIME: u64 = 2200;
+/// How far a rising arrival rate is extrapolated, in milliseconds: until a host requested now takes
+/// work, 1.5 s for its move and up to 0.7 s for the order, its registration and its first answer.
+/// With less, callers wait for hosts during a rise; with more, hosts are fetched for a rise that
+/// has ended.
+const TREND_HORIZON_MS: u64 = 2200;
 
-/// The most that a rising rate is taken to become, in multiples of what it is.
-const TREND_MOST: f64 = 4.0;
+/// Upper bound of an extrapolated rate, as a multiple of the current one.
+const MAX_TREND_FACTOR: f64 = 4.0;
 
-/// Time in which the work that waits should have begun.
-const BACKLOG_TIME: u64 = 1000;
+/// Time within which queued work should start, in milliseconds.
+const BACKLOG_TARGET_MS: u64 = 1000;
 
-/// A worker as whoever moves hosts sees it.
+/// A worker's capacity and use, as reported to the balancer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLoad {
     /// The worker.
     pub worker: WorkerId,
-    /// Thousandths of a core.
+    /// Its capacity, in thousandths of a core.
     pub cores: u64,
-    /// Thousandths of a core that are in use.
+    /// Allocated capacity, in thousandths of a core.
     pub used: u64,
-    /// Something that must be at work all the time is there.
+    /// It has a long-running task.
     pub pinned: bool,
-    /// Its zone is drained, so it is no room.
+    /// Its zone is drained, so it offers no capacity.
     #[serde(default)]
     pub drained: bool,
 }
 
-/// How much room a pool has and needs, in thousandths of a core.
+/// A pool's capacity and demand, in thousandths of a core.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PoolLoad {
-    /// For work that runs, waits and arrives.
+    /// Demand of running, queued and arriving work.
     pub need: u64,
-    /// The part of `need` that is not for late work which waits.
+    /// The part of `need` that is not for late queued work.
     #[serde(default)]
     pub timely: u64,
-    /// For tasks that run on.
+    /// Demand of long-running tasks.
     pub lasting: u64,
-    /// Workers that it needs at least, however large they are: tasks that run on keep apart.
+    /// Minimum number of workers, whatever their size, because long-running tasks are spread.
     pub least: u32,
-    /// Workers that it needs beyond that for a while, since tasks that have to leave find no place.
+    /// Extra workers that the pool needs for a while, because tasks that have to move find no
+    /// place.
     pub extra: u32,
     /// The workers that can be used.
     pub workers: Vec<WorkerLoad>,
-    /// The owner has seen short jobs arrive, so a lull tells something.
+    /// The owner has seen short jobs arrive, so an idle period is meaningful.
     #[serde(default)]
     pub begun: bool,
-    /// Workers whose hosts answer that nobody listens there. The platform's list of hosts tells whether their lives are
-    /// over, which ends the wait for what may run on them.
+    /// Workers whose hosts refuse connections. The platform's list of hosts shows whether they are
+    /// dead, which ends the wait for runs there.
     #[serde(default)]
     pub deserted: Vec<WorkerId>,
-    /// The owner is new and does not know yet what runs where.
+    /// The owner is new and does not know yet where tasks run.
     pub unsettled: bool,
 }
 
-/// When the jobs of each queue arrived lately.
+/// Recent arrival times of jobs, by queue.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Arrivals {
+pub(super) struct QueueArrivals {
     queues: BTreeMap<RouteName, VecDeque<Tick>>,
 }
 
-impl Arrivals {
-    /// Notes a job.
-    pub(super) fn note(&mut self, queue: &RouteName, at: Tick) {
+impl QueueArrivals {
+    /// Records the arrival of a job.
+    pub(super) fn record(&mut self, queue: &RouteName, at: Tick) {
         self.queues.entry(queue.clone()).or_default().push_back(at);
     }
 
-    /// Tells whether any job has arrived.
-    fn begun(&self) -> bool {
+    /// Returns whether any job has arrived.
+    fn has_arrivals(&self) -> bool {
         !self.queues.is_empty()
     }
 
-    /// Returns the work that will arrive in a millisecond when a host that is asked for now has come. Jobs are counted
-    /// and taken for as large as those of their queue are on average: one large job is no burst.
+    /// Returns the work expected to arrive per millisecond when a host requested now takes work.
+    /// Each job counts with the mean size of its queue, so that one large job is no burst.
     fn forecast(&mut self, now: Tick, mean: impl Fn(&RouteName) -> f64) -> u64 {
         let sum: f64 = self
             .queues
@@ -102,8 +104,8 @@
     }
 }
 
-/// Returns how many jobs will arrive in a window when a host that is asked for now has come: as many as in the
-/// latest, and more if they were fewer just before.
+/// Returns the number of jobs expected in one window when a host requested now takes work: as many
+/// as in the latest window, extrapolated if the window before it had fewer.
 fn expected_jobs(arrived: &mut VecDeque<Tick>, now: Tick) -> f64 {
     while arrived.front().is_some_and(|at| now.since(*at) > Millis(2 * RATE_WINDOW.0)) {
         arrived.pop_front();
@@ -111,13 +113,13 @@
     let latest = arrived.iter().filter(|at| now.since(**at) <= RATE_WINDOW).count() as f64;
     let before = arrived.len() as f64 - latest;
     let rise = (latest - before).max(0.0);
-    let ahead = TREND_TIME as f64 / RATE_WINDOW.0 as f64;
-    (latest + rise * ahead).min(TREND_MOST * latest)
+    let ahead = TREND_HORIZON_MS as f64 / RATE_WINDOW.0 as f64;
+    (latest + rise * ahead).min(MAX_TREND_FACTOR * latest)
 }
 
-/// Takes room for a task from what its customer may still start; tells whether there was enough.
-fn take_room(rooms: &mut BTreeMap<CustomerName, u64>, job: &Job, cores: u64) -> bool {
-    let Some(room) = job.customer.as_ref().and_then(|customer| rooms.get_mut(customer)) else {
+/// Takes a task's cores from its customer's headroom, and returns whether there were enough.
+fn take_headroom(headrooms: &mut BTreeMap<CustomerName, u64>, job: &Job, cores: u64) -> bool {
+    let Some(room) = job.customer.as_ref().and_then(|customer| headrooms.get_mut(customer)) else {
         return true;
     };
     let enough = *room >= cores;
@@ -128,16 +130,16 @@
 }
 
 impl Pool {
-    /// Returns how much room the pool has and needs.
+    /// Returns the pool's capacity and demand.
     pub fn load(&mut self, now: Tick) -> PoolLoad {
         let mut lasting = 0;
         let mut running = 0;
         let mut waiting = 0;
         let mut late = 0;
         let mut least = 0;
-        let mut rooms = self.headrooms();
+        let mut headrooms = self.headrooms();
         for job in self.jobs.values().filter(|job| job.ending.is_none()) {
-            let class = self.experience.rank(job, now).class;
+            let class = self.estimator.rank(job, now).class;
             for (id, state) in &job.steps {
                 let step = job.step(*id);
                 let cores = step.charge().cores;
@@ -148,16 +150,17 @@
                     }
                     continue;
                 }
-                let time = self.experience.predict(&job.queue.name, step).0;
-                // What callers ask for has no bound, so sums stop at the largest number.
+                let time = self.estimator.predict(&job.queue.name, step).0;
+                // Requested amounts are unbounded, so sums saturate.
                 let work = cores.saturating_mul(time);
                 for task in state.tasks.iter().filter(|task| !task.done) {
                     if !task.runs.is_empty() {
                         running = cores.saturating_add(running);
-                    } else if job.is_ready(*id) && take_room(&mut rooms, job, cores) {
+                    } else if job.is_ready(*id) && take_headroom(&mut headrooms, job, cores) {
                         match class {
                             Class::Missed => {}
-                            // It asks for hosts like late work: after what others are owed.
+                            // Work beyond its customer's weight requests hosts as late work does:
+                            // after what others are owed.
                             _ if job.beyond => late = work.saturating_add(late),
                             Class::Late | Class::Expiring => late = work.saturating_add(late),
                             Class::LongRunning | Class::InTime => {
@@ -168,9 +171,9 @@
                 }
             }
         }
-        let timely = running.saturating_add(waiting / BACKLOG_TIME);
-        let whole = running.saturating_add(waiting.saturating_add(late) / BACKLOG_TIME);
-        let rate = self.arrivals.forecast(now, |queue| self.experience.mean_work(queue));
+        let timely = running.saturating_add(waiting / BACKLOG_TARGET_MS);
+        let whole = running.saturating_add(waiting.saturating_add(late) / BACKLOG_TARGET_MS);
+        let rate = self.queue_arrivals.forecast(now, |queue| self.estimator.mean_work(queue));
         PoolLoad {
             need: whole.max(rate).saturating_add(lasting),
             timely: timely.max(rate).saturating_add(lasting),
@@ -178,9 +181,9 @@
             least,
             extra: u32::from(self.surge_until > now),
             workers: self.worker_loads(now),
-            begun: self.arrivals.begun(),
-            deserted: self.deserted(),
-            unsettled: !self.listed || !self.pending.is_empty(),
+            begun: self.queue_arrivals.has_arrivals(),
+            deserted: self.deserted_workers(),
+            unsettled: !self.workers_listed || !self.pending.is_empty(),
         }
     }
 
@@ -193,18 +196,18 @@
                 worker: worker.info.id.clone(),
                 cores: worker.info.capacity.cores,
                 used: worker.used.cores,
-                pinned: worker.runs.keys().any(|task| self.is_lasting(*task)),
+                pinned: worker.runs.keys().any(|task| self.is_long_running(*task)),
                 drained: worker.drained,
             })
             .collect()
     }
 
-    fn deserted(&self) -> Vec<WorkerId> {
+    fn deserted_workers(&self) -> Vec<WorkerId> {
         let workers = self.workers.values().filter(|worker| worker.deserted);
         workers.map(|worker| worker.info.id.clone()).collect()
     }
 
-    pub(super) fn is_lasting(&self, task: crate::task::TaskId) -> bool {
+    pub(super) fn is_long_running(&self, task: crate::task::TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|job| {
             job.plan.steps[task.step as usize].long_running
--- a/reachhead_jobs/src/pool/mod.rs
+++ b/reachhead_jobs/src/pool/mod.rs
@@ -1,10 +1,9 @@
-//! A pool as its owner sees it: jobs, workers, and the next orders.
+//! State machine of a pool's owner: tracks jobs and workers, and decides which orders to send next.
 //!
-//! The owner's event loop hands in what happened and carries out the [`Action`]s that come back.
-//! Nothing here reads a clock or waits.
+//! The owner's event loop passes events in and carries out the returned [`Action`]s. This module
+//! neither reads a clock nor blocks.
 
 mod action;
-mod adopt;
 mod advice;
 mod callers;
 mod crash;
@@ -17,10 +16,11 @@
 mod pace;
 mod polls;
 mod quota;
-mod rebirth;
+mod recover;
 mod recovered_state;
 mod refusal;
 mod reports;
+mod restarted_worker;
 mod roster;
 mod starts;
 mod weights;
@@ -41,7 +41,7 @@
     size::{FencingToken, Millis, Revision},
 };
 
-use self::rebirth::is_newer;
+use self::restarted_worker::is_newer;
 use crate::{
     clock::{Tick, with_drift},
     job::Job,
@@ -52,47 +52,50 @@
     worker::Worker,
 };
 
-/// How often runs are looked at for orders that are due by time alone. Orders are repeated after 50 ms, so they are sent
-/// at most half as late again. A look takes time for each run of the pool, and rounds are 4 ms apart.
+/// Period of the review that finds orders due by time alone. Orders are resent after 50 ms, so this
+/// delays them by at most half as much again. A review costs time for each run of the pool, and
+/// scheduling rounds are only 4 ms apart.
 const REVIEW_PERIOD: Millis = Millis(20);
 
-/// Numbers of runs that an owner has to itself; a successor's numbers are higher by this. A task
-/// that runs on and ends at once is started about twice a second, so it lasts for days of that.
+/// Run numbers reserved for each owner; those of its successor start this much higher. A
+/// long-running task that exits immediately is started about twice a second, so the range lasts for
+/// days.
 const RUNS_PER_TERM: u64 = 1_000_000;
 
-/// How long the state of a job that is over is told from memory; afterwards the store is asked.
-const CLOSED_TIME: Millis = Millis(120_000);
+/// How long the state of an ended job is answered from memory; later queries go to the store.
+const CLOSED_JOB_RETENTION: Millis = Millis(120_000);
 
-/// Times that follow from the platform's contract.
+/// Timeouts derived from the platform's contract.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolTimeouts {
-    /// How long a worker may hold its runs without a renewal.
+    /// Lease duration: how long a worker may keep its runs without a renewal.
     pub hold: Millis,
-    /// How long an owner goes on giving orders without a sign that it still is in charge.
+    /// How long an owner may give orders after its own lease was last confirmed.
     pub trust: Millis,
-    /// How long a long poll waits.
+    /// How long a worker holds a long poll open.
     pub wait: Millis,
-    /// How long a protected task counts as away after planned work ended it.
+    /// How long a protected task counts as unavailable after planned work ended it.
     pub notice: Millis,
     /// How long the members of a gang wait for each other.
     pub gang: Millis,
-    /// How long a stop takes at most.
+    /// Longest time that stopping a run takes.
     pub stop: Millis,
-    /// The longest lease that a worker grants, whatever an order says.
+    /// Longest lease that a worker accepts, whatever deadline an order carries.
     pub grant: Millis,
-    /// How long a process may go on starting tasks without knowing which zones are drained.
+    /// How long a process may start tasks without fresh knowledge of the drained zones.
     pub drain: Millis,
 }
 
 impl PoolTimeouts {
-    /// Returns how long after a change of hands an order of a predecessor that may be alive can have
-    /// effect on a worker that the successor can't reach.
+    /// Returns how long after an ownership change an order of a predecessor that may still be alive
+    /// can take effect on a worker that the successor can't reach.
     pub fn takeover_delay(&self) -> Millis {
         Millis(self.trust.0 + with_drift(self.hold).0)
     }
 
-    /// Returns the same for a predecessor that gave the pool back: what it ordered itself outlasts that by a lease, and what it had
-    /// not heard of its own predecessors by as long as it says.
+    /// Returns the same delay for a predecessor that released the pool: its own orders remain
+    /// effective for one lease duration, and those of its predecessors for the time that its lease
+    /// record gives.
     pub fn after_release(&self, record: &LeaseRecord) -> Millis {
         let leases = with_drift(self.hold);
         match record.open {
@@ -103,15 +106,15 @@
     }
 }
 
-/// A job of which the end is recorded.
+/// An ended job whose final record is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Closed {
+struct ClosedJob {
     ending: Ending,
     customer: Option<CustomerName>,
     at: Tick,
 }
 
-/// A pool and everything that its owner knows of it.
+/// A pool, with all state that its owner keeps about it.
 pub struct Pool {
     name: PoolName,
     token: FencingToken,
@@ -119,65 +122,66 @@
     term: u64,
     timeouts: PoolTimeouts,
     jobs: BTreeMap<JobId, Job>,
-    closed: BTreeMap<JobId, Closed>,
+    closed: BTreeMap<JobId, ClosedJob>,
     workers: BTreeMap<WorkerId, Worker>,
-    /// Workers of the predecessor that have not answered yet.
-    pending: BTreeMap<WorkerId, Pending>,
-    /// Ends of jobs that this owner was not told of.
-    orphans: Vec<Orphan>,
-    /// The platform's list of workers was taken in.
-    listed: bool,
+    /// The predecessor's workers that have not answered this owner yet.
+    pending: BTreeMap<WorkerId, PendingWorker>,
+    /// Reported ends of runs whose jobs this owner does not know.
+    unclaimed_ends: Vec<UnclaimedEnd>,
+    /// The platform's list of workers has been applied at least once.
+    workers_listed: bool,
     /// The zones that operators drain.
     drained: drain::DrainedZones,
-    /// Workers that are not listed yet and must get nothing, and until when.
+    /// Cordons of workers that are not listed yet, with the time at which each expires.
     cordons: BTreeMap<WorkerId, Tick>,
-    /// Until when one more host is asked for, since a task that has to leave finds no place.
+    /// Until when one extra host is requested, because a task that has to move found no place.
     surge_until: Tick,
-    /// Since when no worker of the predecessor is pending.
+    /// When the last of the predecessor's workers answered or expired.
     settled_at: Option<Tick>,
     roster: roster::RosterState,
     dirty: BTreeSet<JobId>,
     refusals: refusal::Refusals,
-    /// Lives of workers that are known to be over, whatever the platform's list still says, and when they began.
-    over: BTreeMap<WorkerId, Option<Millis>>,
-    experience: Experience,
-    advice: advice::AdviceBook,
+    /// Worker incarnations known to be dead even if the platform still lists them, with their start
+    /// times.
+    dead_incarnations: BTreeMap<WorkerId, Option<Millis>>,
+    estimator: Experience,
+    advice: advice::AdviceCache,
     quotas: quota::Quotas,
-    arrived: weights::Arrived,
-    arrivals: load::Arrivals,
-    /// A job with tasks that fill was seen, so paces have to be looked at.
-    fills: bool,
-    /// Something happened that may ask for an order about a run that exists.
+    customer_arrivals: weights::CustomerArrivals,
+    queue_arrivals: load::QueueArrivals,
+    /// A job with best-effort tasks was seen, so their pace has to be adjusted.
+    has_best_effort: bool,
+    /// An event occurred that may require an order for an existing run.
     review: bool,
-    /// When runs are looked at again though nothing happened.
-    review_next: Tick,
+    /// When runs are reviewed next even without an event.
+    next_review: Tick,
     verified: Tick,
-    /// The time of day at the start of the steady clock.
-    epoch: Millis,
+    /// Time of day at which the monotonic clock read zero.
+    wall_offset: Millis,
     actions: Vec<Action>,
     notes: Vec<Note>,
 }
 
-/// An end of a job that this owner does not know: it is over, or will be told of. A predecessor that had lost
-/// its lease may have started its tasks.
+/// A reported end of a run whose job this owner does not know. The job has ended, or is yet to be
+/// submitted to this owner: a predecessor that had lost its lease may have started its tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Orphan {
+struct UnclaimedEnd {
     worker: WorkerId,
     entry: EndedEntry,
     since: Tick,
 }
 
-/// A worker of the predecessor that has not answered yet.
+/// A worker of the predecessor that has not answered this owner yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Pending {
-    /// Until when something that the predecessor started there may work.
+struct PendingWorker {
+    /// When everything that the predecessor started there has expired.
     until: Tick,
     /// No job whose row is newer than this was started there.
     closed: Option<Revision>,
 }
 
 impl Pool {
-    /// Returns the pool `name` for the owner with this token.
+    /// Creates the pool `name` for the owner that holds `token`, from the state found in the store.
     pub fn new(
         name: PoolName,
         token: FencingToken,
@@ -197,8 +201,8 @@
             closed: BTreeMap::new(),
             workers: BTreeMap::new(),
             pending: BTreeMap::new(),
-            orphans: Vec::new(),
-            listed: false,
+            unclaimed_ends: Vec::new(),
+            workers_listed: false,
             drained: drain::DrainedZones::default(),
             cordons: BTreeMap::new(),
             surge_until: Tick(0),
@@ -206,24 +210,24 @@
             roster: roster::RosterState::new(found.roster),
             dirty: BTreeSet::new(),
             refusals: refusal::Refusals::default(),
-            over: BTreeMap::new(),
-            experience: Experience::default(),
-            advice: advice::AdviceBook::default(),
+            dead_incarnations: BTreeMap::new(),
+            estimator: Experience::default(),
+            advice: advice::AdviceCache::default(),
             quotas: quota::Quotas::default(),
-            arrived: weights::Arrived::default(),
-            arrivals: load::Arrivals::default(),
-            fills: false,
+            customer_arrivals: weights::CustomerArrivals::default(),
+            queue_arrivals: load::QueueArrivals::default(),
+            has_best_effort: false,
             review: true,
-            review_next: now,
+            next_review: now,
             verified: found.verified,
-            epoch: Millis(wall.0.saturating_sub(now.0)),
+            wall_offset: Millis(wall.0.saturating_sub(now.0)),
             actions: Vec::new(),
             notes: Vec::new(),
         };
         for stored in found.jobs {
-            pool.inherit_job(stored, now, wall);
+            pool.recover_job(stored, now, wall);
         }
-        pool.inherit_workers(found.effect, now);
+        pool.recover_workers(found.effect, now);
         pool
     }
 
@@ -237,7 +241,7 @@
         self.token
     }
 
-    /// Returns the jobs that are not over.
+    /// Returns the jobs that have not ended, or whose end is not recorded.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
@@ -247,24 +251,26 @@
         &self.workers
     }
 
-    /// Returns how many workers of a predecessor have not answered yet.
+    /// Returns the number of the predecessor's workers that have not answered yet.
     pub fn unsettled(&self) -> usize {
         self.pending.len()
     }
 
-    /// Returns for how long something that a predecessor started may still be at work on a worker that has not answered.
+    /// Returns for how long runs of a predecessor may still be active on workers that have not
+    /// answered.
     pub fn open_time(&self, now: Tick) -> Millis {
         let last = self.pending.values().map(|pending| pending.until).max();
         last.map_or(Millis(0), |until| until.since(now))
     }
 
-    /// Notes that this owner was still in charge at `at`.
+    /// Records that this owner's lease was in force at `at`.
     pub fn verify(&mut self, at: Tick) {
         self.verified = self.verified.max(at);
     }
 
-    /// Takes in an accepted job; one that is known already changes nothing. One that was stored before this
-    /// owner came, and whose row it did not find, was over by then: whoever tells of it is late.
+    /// Adds an accepted job; a known job is left unchanged. A job that was stored before this owner
+    /// took over, but whose row it did not find, had already ended: its submission is late and is
+    /// ignored.
     pub fn submit(
         &mut self,
         id: JobId,
@@ -273,14 +279,14 @@
         now: Tick,
         wall: Millis,
     ) {
-        let over = row < Revision(self.token.0);
-        if over || self.jobs.contains_key(&id) || self.closed.contains_key(&id) {
+        let ended = row < Revision(self.token.0);
+        if ended || self.jobs.contains_key(&id) || self.closed.contains_key(&id) {
             return;
         }
-        self.experience.admit(&record.queue.name, &record.plan);
-        self.fills |= record.plan.has_fills();
-        if !record.plan.long_running() && self.may_use_hosts(record.customer.as_ref()) {
-            self.arrivals.note(&record.queue.name, now);
+        self.estimator.admit(&record.queue.name, &record.plan);
+        self.has_best_effort |= record.plan.has_fills();
+        if !record.plan.long_running() && self.can_use_hosts(record.customer.as_ref()) {
+            self.queue_arrivals.record(&record.queue.name, now);
         }
         let accepted = now - Millis(wall.0.saturating_sub(record.accepted.0));
         let mut job = Job::new(id, record, accepted);
@@ -288,25 +294,26 @@
         job.beyond = self.is_beyond_weight(record.customer.as_ref(), now);
         job.unfold(wall);
         self.jobs.insert(id, job);
-        self.claim_orphans(id, now);
+        self.claim_ends(id, now);
     }
 
-    /// Takes in the platform's list of the pool's workers.
+    /// Applies the platform's list of the pool's workers.
     pub fn list(&mut self, listed: Vec<WorkerInfo>, now: Tick) {
-        self.listed = true;
+        self.workers_listed = true;
         self.roster.next = now;
         let ids: BTreeSet<WorkerId> = listed.iter().map(|info| info.id.clone()).collect();
         for worker in self.workers.values_mut() {
             worker.listed = ids.contains(&worker.info.id);
         }
-        self.over.retain(|id, _| ids.contains(id));
+        self.dead_incarnations.retain(|id, _| ids.contains(id));
         for info in listed {
-            if self.over.get(&info.id).is_some_and(|over| !is_newer(info.born, *over)) {
+            if self.dead_incarnations.get(&info.id).is_some_and(|over| !is_newer(info.born, *over))
+            {
                 continue;
             }
-            self.over.remove(&info.id);
+            self.dead_incarnations.remove(&info.id);
             match self.workers.get_mut(&info.id) {
-                // The list is behind the worker.
+                // The list is older than the incarnation that already answered.
                 Some(worker) if is_newer(worker.born, info.born) => {}
                 Some(worker) => {
                     if is_newer(info.born, worker.born) {
@@ -332,57 +339,57 @@
 
     /// Returns the next orders. `wall` is the time of day in milliseconds since 1970.
     pub fn poll(&mut self, now: Tick, wall: Millis) -> Vec<Action> {
-        self.epoch = Millis(wall.0.saturating_sub(now.0));
-        self.unfold(wall);
+        self.wall_offset = Millis(wall.0.saturating_sub(now.0));
+        self.add_due_occurrences(wall);
         self.expire(now);
-        if self.review || self.review_next <= now {
+        if self.review || self.next_review <= now {
             self.review = false;
-            self.review_next = now + REVIEW_PERIOD;
-            self.drive_runs(now);
+            self.next_review = now + REVIEW_PERIOD;
+            self.review_runs(now);
         }
-        if self.trusted(now) && self.drained.known(now) {
-            self.place(now);
+        if self.can_order(now) && self.drained.is_current(now) {
+            self.place_tasks(now);
         }
-        self.drive_polls(now);
-        if self.fills {
-            self.drive_pace(now);
+        self.send_polls(now);
+        if self.has_best_effort {
+            self.adjust_pace(now);
         }
         self.check_roster(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the decisions since the last call.
+    /// Returns the decisions logged since the last call.
     pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Tells whether this owner may still give orders.
-    fn trusted(&self, now: Tick) -> bool {
+    /// Returns whether this owner's lease was confirmed recently enough to give orders.
+    fn can_order(&self, now: Tick) -> bool {
         now.since(self.verified) <= self.timeouts.trust
     }
 
-    fn unfold(&mut self, wall: Millis) {
+    fn add_due_occurrences(&mut self, wall: Millis) {
         for job in self.jobs.values_mut() {
             job.unfold(wall);
         }
     }
 
-    /// Forgets what no longer matters.
+    /// Drops state whose retention time has passed.
     fn expire(&mut self, now: Tick) {
         self.pending.retain(|_, pending| pending.until > now);
         if self.pending.is_empty() {
             self.settled_at.get_or_insert(now);
         }
         self.cordons.retain(|_, until| *until > now);
-        self.expire_orphans(now);
-        self.closed.retain(|_, closed| now.since(closed.at) < CLOSED_TIME);
+        self.expire_unclaimed_ends(now);
+        self.closed.retain(|_, closed| now.since(closed.at) < CLOSED_JOB_RETENTION);
         self.expire_workers(now);
         self.refusals.expire(now, |id| self.jobs.contains_key(&id));
         self.advice.expire(now);
     }
 
-    /// Notes that a job has something new to be recorded.
-    fn mark(&mut self, id: JobId) {
+    /// Marks a job's progress as changed, to be written to the store.
+    fn mark_dirty(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.changed = true;
             self.dirty.insert(id);
@@ -397,7 +404,7 @@
         WorkerTarget { id: worker.info.id.clone(), address: worker.info.address, token: self.token }
     }
 
-    /// Returns the row of how a job ended.
+    /// Returns the final record of an ended job.
     fn final_record(job: &Job, ending: Ending, wall: Millis) -> FinalRecord {
         let customer = job.customer.clone();
         FinalRecord { queue: job.queue.name.clone(), ending, at: wall, customer }
--- a/reachhead_jobs/src/pool/orders.rs
+++ b/reachhead_jobs/src/pool/orders.rs
@@ -1,4 +1,4 @@
-//! What came of orders to workers.
+//! Results of start and stop orders to workers.
 
 use reachhead_types::{
     id::WorkerId,
@@ -13,18 +13,18 @@
     task::TaskId,
 };
 
-/// Pause before an order that was not answered is sent again.
-const ORDER_PAUSE: Millis = Millis(50);
+/// Pause before an unanswered order is resent.
+const ORDER_RETRY_PAUSE: Millis = Millis(50);
 
-/// Pause before a run that a worker was told to stop is looked at again.
-const STOP_PAUSE: Millis = Millis(1000);
+/// Pause before a stopped run is checked again.
+const STOP_RECHECK_PAUSE: Millis = Millis(1000);
 
-/// Pause before a task that a worker turned away is tried again.
-const REJECTED_PAUSE: Millis = Millis(50);
+/// Pause before a task whose start was rejected is placed again.
+const REJECTION_PAUSE: Millis = Millis(50);
 
-/// How long a worker that had no room is not asked for it again if nothing ends there: it has shrunk, and by then its entry says
-/// how much is left.
-const FULL_TIME: Millis = Millis(1000);
+/// How long a worker that rejected a run for lack of capacity gets no tasks if none ends there: its
+/// capacity has shrunk, and by then its registration shows how much is left.
+const FULL_DURATION: Millis = Millis(1000);
 
 impl Pool {
     fn run_of(&mut self, id: &WorkerId, task: TaskId, number: RunNumber) -> Option<&mut Run> {
@@ -32,18 +32,18 @@
         (run.worker == *id).then_some(run)
     }
 
-    fn hear(&mut self, id: &WorkerId, shown: WorkerTime, now: Tick) {
+    fn record_contact(&mut self, id: &WorkerId, shown: WorkerTime, now: Tick) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.heard = now;
             let newer = worker.sample.is_none_or(|sample| sample.shown < shown);
-            // An answer to an order does not tell of which life it is, and another's clock shows another time.
+            // An answer to an order does not identify its incarnation, whose clock may differ.
             if newer && worker.born.is_none() {
                 worker.sample = Some(ClockSample { shown, at: now });
             }
         }
     }
 
-    /// Takes in the result of an order to start a run.
+    /// Applies the result of a start order.
     pub fn started(
         &mut self,
         id: &WorkerId,
@@ -53,13 +53,13 @@
         now: Tick,
     ) {
         if let Ok(shown) = &result {
-            self.hear(id, *shown, now);
+            self.record_contact(id, *shown, now);
         }
         let Some(run) = self.run_of(id, task, number) else {
             return;
         };
         run.asking = false;
-        // A run that was confirmed as ordered needs no other order; anything else may.
+        // A confirmed run needs no further order; any other result may.
         let unexpected = result.is_err() || run.phase != Phase::Ordered;
         match result {
             Ok(_) => {
@@ -72,35 +72,35 @@
             Err(WorkerError::Replaced) => self.worker_died(id, DeathEvidence::Replaced, now),
             Err(WorkerError::Broken(_)) => {
                 run.doubtful = true;
-                run.retry = now + ORDER_PAUSE;
+                run.retry = now + ORDER_RETRY_PAUSE;
             }
             Err(WorkerError::Lost(_)) => {
                 run.doubtful = true;
-                run.retry = now + ORDER_PAUSE;
+                run.retry = now + ORDER_RETRY_PAUSE;
                 if let Some(worker) = self.workers.get_mut(id) {
                     worker.lose(task, number, now);
                 }
             }
             Err(WorkerError::Unreachable(_) | WorkerError::Deserted(_)) if run.doubtful => {
-                run.retry = now + ORDER_PAUSE
+                run.retry = now + ORDER_RETRY_PAUSE
             }
             Err(WorkerError::Rejected(Rejection::Fenced)) => {
-                run.retry = now + ORDER_PAUSE;
+                run.retry = now + ORDER_RETRY_PAUSE;
                 self.actions.push(Action::Fenced);
             }
-            // The run is barred there, or it ended: the next report tells.
+            // The run is barred there or has ended; the next report shows which.
             Err(WorkerError::Rejected(Rejection::Old)) => run.settled = Some(now),
             Err(WorkerError::Rejected(_)) if run.doubtful => {
                 run.phase = Phase::Stopping;
                 run.retry = now;
             }
-            Err(error) => self.turned_away(id, task, number, &error, now),
+            Err(error) => self.start_rejected(id, task, number, &error, now),
         }
         self.review |= unexpected;
     }
 
-    /// A worker certainly did not start the run.
-    fn turned_away(
+    /// Removes a run that its worker certainly did not start.
+    fn start_rejected(
         &mut self,
         id: &WorkerId,
         task: TaskId,
@@ -112,9 +112,9 @@
             NoteKind::RunLost,
             format!("task={task} run={number} worker={id} error=\"{error}\""),
         );
-        self.take_run(id, task, number);
+        self.remove_run(id, task, number);
         if let Some(task) = self.jobs.get_mut(&task.job).and_then(|job| job.task(task)) {
-            task.not_before = now + REJECTED_PAUSE;
+            task.not_before = now + REJECTION_PAUSE;
         }
         match error {
             WorkerError::Rejected(Rejection::Unhealthy) => {
@@ -124,7 +124,7 @@
             }
             WorkerError::Rejected(Rejection::Room) => {
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.full = now + FULL_TIME;
+                    worker.full = now + FULL_DURATION;
                 }
             }
             WorkerError::Rejected(Rejection::Ticket) => self.advice.refuse(task.step_id(), id),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Takes in the result of an order to stop a run.
+    /// Applies the result of a stop order.
     pub fn stopped(
         &mut self,
         id: &WorkerId,
@@ -148,7 +148,7 @@
         now: Tick,
     ) {
         if let Ok(shown) = &result {
-            self.hear(id, *shown, now);
+            self.record_contact(id, *shown, now);
         }
         if matches!(result, Err(WorkerError::Lost(_)))
             && let Some(worker) = self.workers.get_mut(id)
@@ -168,14 +168,15 @@
         };
         run.asking = false;
         match result {
-            // Barred for good: once a report lacks it that was asked for later, it is gone. The first time
-            // counts, since it is barred again while a poll waits.
+            // The run is barred permanently: it is gone once a report requested after this time
+            // lacks it. The first confirmation counts, since the run is barred again while a poll
+            // is in flight.
             Ok(_) => {
                 run.settled = run.settled.or(Some(now));
                 run.doubtful = false;
-                run.retry = now + STOP_PAUSE;
+                run.retry = now + STOP_RECHECK_PAUSE;
             }
-            Err(_) => run.retry = now + ORDER_PAUSE,
+            Err(_) => run.retry = now + ORDER_RETRY_PAUSE,
         }
     }
 }
--- a/reachhead_jobs/src/pool/pace.rs
+++ b/reachhead_jobs/src/pool/pace.rs
@@ -1,4 +1,4 @@
-//! Slowing down tasks that fill where they disturb tasks that serve.
+//! Pacing of best-effort tasks that share a worker with latency-sensitive tasks.
 
 use crate::{
     clock::Tick,
@@ -8,32 +8,33 @@
     worker::Worker,
 };
 
-/// Tail, as a share of its target, above which what fills beside a task is slowed down.
-const HIGH_TAIL: f64 = 0.8;
+/// Tail latency relative to its target above which best-effort tasks are slowed down.
+const HIGH_TAIL_RATIO: f64 = 0.8;
 
-/// Tail, as a share of its target, below which what fills beside a task is let work faster.
-const LOW_TAIL: f64 = 0.6;
+/// Tail latency relative to its target below which best-effort tasks are sped up.
+const LOW_TAIL_RATIO: f64 = 0.6;
 
-/// Step by which the pace rises, in percent points a report.
-const PACE_STEP: u32 = 10;
+/// Increase of the pace, in percentage points per report.
+const PACE_STEP_PERCENT: u32 = 10;
 
-/// Pace, in percent, below which the fill is stopped altogether.
-const PACE_LEAST: u32 = 10;
+/// Pace, in percent, below which a best-effort task is paused.
+const MIN_PACE_PERCENT: u32 = 10;
 
-/// A run that serves or fills.
+/// A latency-sensitive or best-effort run.
 struct Neighbour {
     task: TaskId,
     run: crate::job::Run,
-    /// Tail over target of a run that serves.
+    /// Tail latency relative to its target, for a latency-sensitive run.
     tail: Option<f64>,
-    fills: bool,
+    best_effort: bool,
 }
 
 impl Pool {
-    /// Tells whether tasks that fill run beside tasks that serve.
-    pub(super) fn has_fills(&self, worker: &Worker) -> bool {
+    /// Returns whether a worker runs both best-effort and latency-sensitive tasks.
+    pub(super) fn has_contention(&self, worker: &Worker) -> bool {
         let neighbours = self.neighbours(worker);
-        neighbours.iter().any(|one| one.fills) && neighbours.iter().any(|one| one.tail.is_some())
+        neighbours.iter().any(|one| one.best_effort)
+            && neighbours.iter().any(|one| one.tail.is_some())
     }
 
     fn neighbours(&self, worker: &Worker) -> Vec<Neighbour> {
@@ -53,24 +54,24 @@
             };
             let serves = step.serves() && run.percent >= 100;
             let tail = serves.then(|| run.figure as f64 / step.target.0 as f64);
-            found.push(Neighbour { task: *task, run: run.clone(), tail, fills: step.fills });
+            found.push(Neighbour { task: *task, run: run.clone(), tail, best_effort: step.fills });
         }
         found
     }
 
-    /// Adjusts the pace of what fills after each report.
-    pub(super) fn drive_pace(&mut self, now: Tick) {
+    /// Adjusts the pace of best-effort tasks after each report.
+    pub(super) fn adjust_pace(&mut self, now: Tick) {
         let mut changes = Vec::new();
-        let mut looked = Vec::new();
+        let mut checked = Vec::new();
         for worker in self.workers.values() {
             let fresh = worker.sample.is_some_and(|sample| sample.at > worker.paced);
-            if !fresh || worker.silent || !self.has_fills(worker) {
+            if !fresh || worker.silent || !self.has_contention(worker) {
                 continue;
             }
-            looked.push(worker.info.id.clone());
+            checked.push(worker.info.id.clone());
             let neighbours = self.neighbours(worker);
             let worst = neighbours.iter().filter_map(|one| one.tail).fold(0.0, f64::max);
-            for one in neighbours.iter().filter(|one| one.fills) {
+            for one in neighbours.iter().filter(|one| one.best_effort) {
                 let pace = next_pace(one.run.pace, worst);
                 if pace != one.run.pace {
                     let number = one.run.number;
@@ -78,7 +79,7 @@
                 }
             }
         }
-        for id in looked {
+        for id in checked {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.paced = now;
             }
@@ -94,7 +95,8 @@
         }
     }
 
-    /// A change of pace was not confirmed: the worker may have any pace, so it is set anew.
+    /// Records that a change of pace was not confirmed. The worker may have any pace, so the next
+    /// adjustment sends it again.
     pub fn pace_failed(&mut self, task: TaskId, number: reachhead_types::size::RunNumber) {
         let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(task));
         if let Some(run) = state.and_then(|state| state.run(number)) {
@@ -103,14 +105,14 @@
     }
 }
 
-/// Returns the pace after a report with this worst tail.
+/// Returns the next pace, given the worst relative tail latency in a report.
 fn next_pace(pace: u32, worst: f64) -> u32 {
     if worst > 1.0 {
         return 0;
     }
-    if worst > HIGH_TAIL {
+    if worst > HIGH_TAIL_RATIO {
         let half = pace / 2;
-        return if half < PACE_LEAST { 0 } else { half };
+        return if half < MIN_PACE_PERCENT { 0 } else { half };
     }
-    if worst < LOW_TAIL { (pace + PACE_STEP).min(100) } else { pace }
+    if worst < LOW_TAIL_RATIO { (pace + PACE_STEP_PERCENT).min(100) } else { pace }
 }
--- a/reachhead_jobs/src/pool/polls.rs
+++ b/reachhead_jobs/src/pool/polls.rs
@@ -1,4 +1,4 @@
-//! Renewing the leases of workers, repeating orders, and noticing what stands still.
+//! Long polls that renew workers' leases, resending of orders, and detection of stuck runs.
 
 use reachhead_types::{id::WorkerId, size::Millis};
 
@@ -12,31 +12,32 @@
     worker::{Poll, Worker},
 };
 
-/// How long a task may show no progress, in multiples of the time that a hundredth of it takes,
-/// before it is taken to stand still; slow workers are several times slower than they should be.
-const STILL_FACTOR: u64 = 25;
+/// Time without progress after which a run is stuck, in multiples of the time that one percent of
+/// the task takes. Slow workers are several times slower than they should be.
+const STUCK_FACTOR: u64 = 25;
 
-/// Shortest time without progress that is taken for standing still: several reports.
-const STILL_LEAST: Millis = Millis(2500);
+/// Shortest time without progress after which a run is stuck: several reports.
+const MIN_STUCK_TIME: Millis = Millis(2500);
 
-/// How often a task is stopped for standing still; after that it is left where it is.
-const STILLS_MOST: u32 = 3;
+/// How often a task is stopped for being stuck; after that it is left where it is.
+const MAX_STUCK_STOPS: u32 = 3;
 
-/// How long a poll waits at a worker on which tasks that fill run beside tasks that serve: a disturbance
-/// must be noticed and slowed down well within the seconds that a target may be missed for.
-const FILL_WAIT: Millis = Millis(400);
+/// Poll wait at a worker where best-effort tasks run beside latency-sensitive tasks. Interference
+/// has to be noticed and slowed down well within the few seconds for which a target may be missed.
+const BEST_EFFORT_POLL_WAIT: Millis = Millis(400);
 
-/// How long a poll waits at a worker with short tasks. Such a worker answers several times a second, at each end; if an answer is
-/// lost, all ends there are unknown until the poll runs out, and the next steps of their jobs wait for that.
-const BUSY_WAIT: Millis = Millis(200);
+/// Poll wait at a worker with short tasks. Such a worker answers several times a second, at each
+/// end of a task; if an answer is lost, all ends there stay unknown until the poll times out, and
+/// the next steps of their jobs wait for them.
+const SHORT_TASK_POLL_WAIT: Millis = Millis(200);
 
-/// How long a poll waits at a worker that gets nothing else until a task there has begun to work.
-const TRIAL_WAIT: Millis = Millis(50);
+/// Poll wait at a worker that gets no other task until a task on trial has made progress.
+const TRIAL_POLL_WAIT: Millis = Millis(50);
 
 impl Pool {
     /// Sends the long polls that are due.
-    pub(super) fn drive_polls(&mut self, now: Tick) {
-        let trusted = self.trusted(now);
+    pub(super) fn send_polls(&mut self, now: Tick) {
+        let trusted = self.can_order(now);
         let hold = self.timeouts.hold;
         let mut actions = Vec::new();
         for worker in self.workers.values() {
@@ -50,9 +51,9 @@
                 .sample
                 .filter(|_| trusted && !worker.silent)
                 .map(|sample| WorkerTime(sample.estimate(now).0 + hold.0));
-            // One that has started again since must not forget ends that have the numbers of earlier ones.
+            // A restarted worker must not drop ends that reuse the numbers of earlier ones.
             let seen = if worker.silent { 0 } else { worker.seen };
-            let order = HoldOrder { deadline, seen, wait: self.wait_of(worker) };
+            let order = HoldOrder { deadline, seen, wait: self.poll_wait(worker) };
             actions.push(Action::Hold(self.target(worker), order));
         }
         for action in &actions {
@@ -66,32 +67,37 @@
         self.actions.append(&mut actions);
     }
 
-    fn wait_of(&self, worker: &Worker) -> Millis {
+    fn poll_wait(&self, worker: &Worker) -> Millis {
         if !worker.answered || worker.silent {
             return Millis(0);
         }
         if worker.trial.is_some() {
-            return TRIAL_WAIT;
+            return TRIAL_POLL_WAIT;
         }
-        if self.fills && self.has_fills(worker) {
-            return FILL_WAIT;
+        if self.has_best_effort && self.has_contention(worker) {
+            return BEST_EFFORT_POLL_WAIT;
+        }
+        if self.has_short_tasks(worker) {
+            SHORT_TASK_POLL_WAIT.min(self.timeouts.wait)
+        } else {
+            self.timeouts.wait
         }
-        if self.has_short(worker) { BUSY_WAIT.min(self.timeouts.wait) } else { self.timeouts.wait }
     }
 
-    /// Tells whether a task is on the worker that ends by itself.
-    fn has_short(&self, worker: &Worker) -> bool {
-        let ends = |task: &TaskId| {
+    /// Returns whether the worker has a short task.
+    fn has_short_tasks(&self, worker: &Worker) -> bool {
+        let is_short = |task: &TaskId| {
             let job = self.jobs.get(&task.job);
             job.is_some_and(|job| !job.plan.long_running())
         };
-        worker.runs.keys().any(ends)
+        worker.runs.keys().any(is_short)
     }
 
-    /// Forgets workers that are gone for good.
+    /// Expires the runs of unreachable workers whose leases have ended, and removes workers that
+    /// are gone.
     pub(super) fn expire_workers(&mut self, now: Tick) {
-        let mut over: Vec<WorkerId> = Vec::new();
-        let mut lapsed: Vec<WorkerId> = Vec::new();
+        let mut gone: Vec<WorkerId> = Vec::new();
+        let mut expired: Vec<WorkerId> = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.silent) {
             let past = match worker.lapses() {
                 Some(lapse) => lapse <= now,
@@ -100,38 +106,38 @@
             let inherited = self.pending.contains_key(&worker.info.id);
             if past && !inherited {
                 if !worker.runs.is_empty() {
-                    lapsed.push(worker.info.id.clone());
+                    expired.push(worker.info.id.clone());
                 } else if !worker.listed {
-                    over.push(worker.info.id.clone());
+                    gone.push(worker.info.id.clone());
                 }
             }
         }
-        for id in lapsed {
-            self.lapse(&id);
+        for id in expired {
+            self.expire_runs(&id);
         }
-        for id in over {
+        for id in gone {
             self.worker_died(&id, DeathEvidence::OffList, now);
         }
     }
 
-    /// Everything on a worker that does not answer has surely lapsed.
-    fn lapse(&mut self, id: &WorkerId) {
+    /// Removes the runs of an unreachable worker, whose leases have all expired.
+    fn expire_runs(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         let runs = worker.runs.clone();
-        let lapsed = self.involved(worker);
+        let lapsed = self.crash_suspects(worker);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.lapsed = lapsed;
         }
         self.note(NoteKind::RunLost, format!("worker={id} lapsed={}", runs.len()));
         for (task, charge) in runs {
-            self.take_run(id, task, charge.run);
+            self.remove_run(id, task, charge.run);
         }
     }
 
-    /// Repeats orders that were not answered, stops what is not wanted or stands still.
-    pub(super) fn drive_runs(&mut self, now: Tick) {
+    /// Resends unanswered orders, and stops runs that are not needed or stuck.
+    pub(super) fn review_runs(&mut self, now: Tick) {
         let mut decisions = Vec::new();
         for job in self.jobs.values() {
             for (id, state) in &job.steps {
@@ -144,16 +150,19 @@
                         } else {
                             incomplete.then_some(StopReason::Incomplete)
                         };
-                        // One that stood still everywhere is no worker's fault, and no other place helps it.
-                        let left_alone = task.stills >= STILLS_MOST;
-                        let decided = self.decide(job, step, run, unwanted, now).filter(|what| {
-                            !(left_alone && matches!(what, What::Stop(StopReason::Still)))
-                        });
-                        if let Some(what) = decided {
+                        // A task that was stuck on several workers is not their fault, and moving
+                        // it again does not help.
+                        let left_alone = task.stills >= MAX_STUCK_STOPS;
+                        let decided =
+                            self.decide_run(job, step, run, unwanted, now).filter(|action| {
+                                !(left_alone
+                                    && matches!(action, RunAction::Stop(StopReason::Still)))
+                            });
+                        if let Some(action) = decided {
                             decisions.push(Decision {
                                 task: id.task(index as u32),
                                 run: run.clone(),
-                                what,
+                                action,
                             });
                         }
                     }
@@ -161,87 +170,88 @@
             }
         }
         for decision in decisions {
-            self.carry_out(&decision, now);
+            self.apply_decision(&decision, now);
         }
         self.jobs.retain(|_, job| !job.recorded || job.has_runs());
     }
 
-    fn decide(
+    fn decide_run(
         &self,
         job: &crate::job::Job,
         step: &Step,
         run: &Run,
         unwanted: Option<StopReason>,
         now: Tick,
-    ) -> Option<What> {
+    ) -> Option<RunAction> {
         if !self.workers.contains_key(&run.worker) {
-            // A worker is forgotten only once nothing can work there any more.
-            return Some(What::Drop);
+            // A worker is removed only once nothing can run there any more.
+            return Some(RunAction::Drop);
         }
         match run.phase {
             Phase::Ordered if run.asking || run.retry > now => None,
-            // The order may still be carried out: it is barred and not repeated.
-            Phase::Ordered if job.recorded => Some(What::Stop(StopReason::Unneeded)),
-            Phase::Ordered if unwanted.is_some() => unwanted.map(What::Stop),
-            // The worker has it, has barred it, or it is too late for it: the next report tells.
+            // The order may still be carried out, so it is barred and not resent.
+            Phase::Ordered if job.recorded => Some(RunAction::Stop(StopReason::Unneeded)),
+            Phase::Ordered if unwanted.is_some() => unwanted.map(RunAction::Stop),
+            // The worker runs it or has barred it, or its deadline has passed; the next report
+            // shows which.
             Phase::Ordered if run.settled.is_some() => None,
-            // Repeated, the order could begin there long after the drain.
+            // If the order were resent, the run could start long after the drain.
             Phase::Ordered if self.workers.get(&run.worker).is_some_and(|at| at.drained) => {
-                Some(What::Stop(StopReason::Drained))
+                Some(RunAction::Stop(StopReason::Drained))
             }
             Phase::Ordered => {
                 let worker = self.workers.get(&run.worker)?;
                 let past =
                     worker.sample.is_some_and(|sample| sample.surely_past(run.deadline) <= now);
-                // After its deadline it can't begin any more, but it may have begun before.
-                Some(if past { What::Settle } else { What::Repeat })
+                // It can't start after its deadline, but it may have started before.
+                Some(if past { RunAction::Settle } else { RunAction::ResendStart })
             }
-            Phase::Working if job.recorded => Some(What::Stop(StopReason::Unneeded)),
-            Phase::Working if unwanted.is_some() => unwanted.map(What::Stop),
-            Phase::Working if self.stands_still(job, step, run, now) => {
-                Some(What::Stop(StopReason::Still))
+            Phase::Working if job.recorded => Some(RunAction::Stop(StopReason::Unneeded)),
+            Phase::Working if unwanted.is_some() => unwanted.map(RunAction::Stop),
+            Phase::Working if self.is_stuck(job, step, run, now) => {
+                Some(RunAction::Stop(StopReason::Still))
             }
             Phase::Working => None,
             Phase::Stopping if run.asking || run.retry > now => None,
-            Phase::Stopping => Some(What::Order),
+            Phase::Stopping => Some(RunAction::ResendStop),
         }
     }
 
-    fn stands_still(&self, job: &crate::job::Job, step: &Step, run: &Run, now: Tick) -> bool {
+    fn is_stuck(&self, job: &crate::job::Job, step: &Step, run: &Run, now: Tick) -> bool {
         if step.gang || job.ending.is_some() || run.pace < 100 {
             return false;
         }
         if step.long_running && run.percent >= 100 {
             return false;
         }
-        let whole = self.experience.predict(&job.queue.name, step);
-        let limit = (whole.0 * STILL_FACTOR / 100).max(STILL_LEAST.0);
+        let whole = self.estimator.predict(&job.queue.name, step);
+        let limit = (whole.0 * STUCK_FACTOR / 100).max(MIN_STUCK_TIME.0);
         let heard = self.workers.get(&run.worker).is_some_and(|worker| !worker.silent);
         heard && now.since(run.moved) > Millis(limit)
     }
 
-    fn carry_out(&mut self, decision: &Decision, now: Tick) {
-        let Decision { task, run, what } = decision;
-        match what {
-            What::Drop => {
+    fn apply_decision(&mut self, decision: &Decision, now: Tick) {
+        let Decision { task, run, action } = decision;
+        match action {
+            RunAction::Drop => {
                 let text =
                     format!("task={task} run={} worker={} end=forgotten", run.number, run.worker);
                 self.note(NoteKind::RunLost, text);
-                self.take_run(&run.worker, *task, run.number);
+                self.remove_run(&run.worker, *task, run.number);
             }
-            What::Settle => {
+            RunAction::Settle => {
                 let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(*task));
                 if let Some(run) = state.and_then(|state| state.run(run.number)) {
                     run.settled = Some(now);
                 }
             }
-            What::Repeat => self.repeat(*task, run),
-            What::Stop(why) => self.stop_run(*task, run, *why, now),
-            What::Order => self.order_stop(*task, run),
+            RunAction::ResendStart => self.resend_start(*task, run),
+            RunAction::Stop(why) => self.stop_run(*task, run, *why, now),
+            RunAction::ResendStop => self.send_stop(*task, run),
         }
     }
 
-    fn repeat(&mut self, task: TaskId, run: &Run) {
+    fn resend_start(&mut self, task: TaskId, run: &Run) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -267,7 +277,7 @@
         self.actions.push(Action::Start(self.target(worker), order));
     }
 
-    /// Stops a run; its room is free once the worker lists the end.
+    /// Stops a run. Its capacity is free once the worker reports the end.
     pub(super) fn stop_run(&mut self, task: TaskId, run: &Run, why: StopReason, now: Tick) {
         self.note(
             NoteKind::RunStopped,
@@ -275,7 +285,7 @@
         );
         let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(task));
         if let Some(state) = state {
-            // A task that stood still elsewhere before says nothing of this worker.
+            // A task that was stuck elsewhere before says nothing about this worker.
             if why == StopReason::Still
                 && state.stills == 0
                 && let Some(worker) = self.workers.get_mut(&run.worker)
@@ -288,10 +298,10 @@
                 run.phase = Phase::Stopping;
             }
         }
-        self.order_stop(task, run);
+        self.send_stop(task, run);
     }
 
-    fn order_stop(&mut self, task: TaskId, run: &Run) {
+    fn send_stop(&mut self, task: TaskId, run: &Run) {
         let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(task));
         if let Some(run) = state.and_then(|state| state.run(run.number)) {
             run.asking = true;
@@ -303,22 +313,22 @@
     }
 }
 
-/// What is decided of a run.
+/// A run and the action decided for it.
 struct Decision {
     task: TaskId,
     run: Run,
-    what: What,
+    action: RunAction,
 }
 
-enum What {
-    /// Its worker is forgotten, so nothing can work there.
+enum RunAction {
+    /// Remove the run, since its worker was removed and nothing can run there.
     Drop,
-    /// It is there or never will be; the next report tells.
+    /// Treat the order as settled: the run exists or never will, as the next report shows.
     Settle,
-    /// The order to start is sent again.
-    Repeat,
-    /// It is stopped, for this reason.
+    /// Resend the start order.
+    ResendStart,
+    /// Stop the run for this reason.
     Stop(StopReason),
-    /// The order to stop is sent.
-    Order,
+    /// Send the stop order again.
+    ResendStop,
 }
--- a/reachhead_jobs/src/pool/quota.rs
+++ b/reachhead_jobs/src/pool/quota.rs
@@ -1,4 +1,5 @@
-//! Customers' quotas in a pool: what counts as running, what is held back, and what the ledger of all pools is told.
+//! Customer quotas in a pool: accounting of running tasks, held-back tasks, and usage reports to
+//! the ledger that divides quotas among pools.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -16,31 +17,31 @@
     quota::{Allotment, CustomerLimits, Demand, UsageReport},
 };
 
-/// Least time between two lines about a customer that is held back.
-const TELL_PERIOD: Millis = Millis(1000);
+/// Shortest time between two log lines about one customer's held-back tasks.
+const LOG_PERIOD: Millis = Millis(1000);
 
-/// Quotas as the owner of a pool knows them.
+/// Quota state of a pool.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Quotas {
     limits: CustomerLimits,
-    /// The customers are limited at all; without quotas nothing is counted.
+    /// Any customer has a quota; without quotas nothing is counted.
     limited: bool,
-    /// What customers have running, as of the current round.
+    /// Usage by customer, as of the current round.
     used: BTreeMap<CustomerName, Amount>,
-    /// What the last round held back.
+    /// Tasks held back in the last round, by customer.
     held: BTreeMap<CustomerName, HeldBack>,
-    /// When a line last told that a customer is held back.
-    told: BTreeMap<CustomerName, Tick>,
+    /// When held-back tasks were last logged, by customer.
+    logged_at: BTreeMap<CustomerName, Tick>,
 }
 
 impl Quotas {
-    /// Returns the jobs a second that a customer is owed, if it is owed a number of them.
+    /// Returns a customer's weight, in jobs per second, if it has one.
     pub(super) fn weight(&self, customer: &CustomerName) -> Option<Weight> {
         self.limits.weight(customer)
     }
 }
 
-/// Tasks of a customer that could start but for its quota.
+/// Tasks of a customer that only its quota keeps from starting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct HeldBack {
     tasks: u32,
@@ -49,18 +50,18 @@
 }
 
 impl Pool {
-    /// Takes over the customers of a configuration.
+    /// Applies the customers of a configuration.
     pub fn configure(&mut self, customers: &Arc<Customers>) {
         self.quotas.limits.configure(customers);
         self.quotas.limited = self.quotas.limits.any_limited();
     }
 
-    /// Notes who keeps the ledger now, by the store's word.
+    /// Records the fencing token of the ledger's current holder, as read from the store.
     pub fn follow_ledger(&mut self, ledger: FencingToken, now: Tick) {
         self.quotas.limits.follow(ledger, now);
     }
 
-    /// Takes in what the pool may have running for customers, and states what it has and could use.
+    /// Applies the pool's allotment from the ledger, and returns the pool's usage and demand.
     pub fn allot(&mut self, allotment: &Allotment) -> UsageReport {
         self.quotas.limits.take(allotment, self.token);
         let mut demand: BTreeMap<CustomerName, Demand> = BTreeMap::new();
@@ -74,8 +75,8 @@
         self.quotas.limits.answer(allotment, self.token, &demand)
     }
 
-    /// Counts what customers have running, before a round starts anything.
-    pub(super) fn begin_quotas(&mut self, now: Tick) {
+    /// Starts a scheduling round: counts usage and clears the held-back tasks.
+    pub(super) fn begin_quota_round(&mut self, now: Tick) {
         self.quotas.limits.expire(now);
         self.quotas.held.clear();
         if self.quotas.limited {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Tells whether the quota of a job's customer lets one more of its tasks start.
+    /// Returns whether the customer's quota admits one more task of the job.
     pub(super) fn within_quota(&self, job: JobId, need: Amount) -> bool {
         let Some(customer) = self.limited_customer(job) else {
             return true;
@@ -92,7 +93,7 @@
         self.quotas.limits.allows(customer, used, need)
     }
 
-    /// Counts a task that starts in this round.
+    /// Counts a task that starts in this round against its customer's quota.
     pub(super) fn charge_quota(&mut self, job: JobId, need: Amount) {
         if let Some(customer) = self.limited_customer(job).cloned() {
             let used = self.quotas.used.entry(customer).or_default();
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Notes tasks that could start but for the quota.
+    /// Records tasks that only the quota keeps from starting.
     pub(super) fn hold_back(&mut self, job: JobId, need: Amount, tasks: u32) {
         if let Some(customer) = self.limited_customer(job).cloned() {
             let held = self.quotas.held.entry(customer).or_default();
@@ -112,15 +113,15 @@
         }
     }
 
-    /// Logs who is held back, each customer once in a while.
-    pub(super) fn tell_quotas(&mut self, now: Tick) {
+    /// Logs customers with held-back tasks, each at most once per [`LOG_PERIOD`].
+    pub(super) fn log_quotas(&mut self, now: Tick) {
         let mut lines = Vec::new();
         for (customer, held) in &self.quotas.held {
-            let told = self.quotas.told.get(customer);
-            if told.is_some_and(|told| now.since(*told) < TELL_PERIOD) {
+            let logged_at = self.quotas.logged_at.get(customer);
+            if logged_at.is_some_and(|logged_at| now.since(*logged_at) < LOG_PERIOD) {
                 continue;
             }
-            self.quotas.told.insert(customer.clone(), now);
+            self.quotas.logged_at.insert(customer.clone(), now);
             let used = self.quotas.used.get(customer).copied().unwrap_or_default();
             let room = self.quotas.limits.headroom(customer, used);
             lines.push(format!(
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Returns what each customer may still start, in thousandths of a core. Work that its quota holds back asks for no
-    /// hosts: they would stand idle.
+    /// Returns each customer's remaining quota, in thousandths of a core. Held-back work does not
+    /// request hosts, since they would be idle.
     pub(super) fn headrooms(&self) -> BTreeMap<CustomerName, u64> {
         if !self.quotas.limited {
             return BTreeMap::new();
@@ -148,8 +149,8 @@
         customers.map(|customer| (customer.clone(), room(customer))).collect()
     }
 
-    /// Tells whether more hosts would be of use to a customer's next job, as of the last round.
-    pub(super) fn may_use_hosts(&self, customer: Option<&CustomerName>) -> bool {
+    /// Returns whether more hosts would help the customer's next job, as of the last round.
+    pub(super) fn can_use_hosts(&self, customer: Option<&CustomerName>) -> bool {
         let Some(customer) = customer.filter(|_| self.quotas.limited) else {
             return true;
         };
@@ -164,8 +165,9 @@
         self.jobs.get(&job)?.customer.as_ref()
     }
 
-    /// Returns what customers have running: what this owner ordered or was told of, until it has surely ended; and
-    /// what its predecessor may have ordered on workers that have not answered yet.
+    /// Returns the usage by customer: runs that this owner ordered or that were reported to it,
+    /// until they have certainly ended, and tasks that its predecessor may have started on workers
+    /// that have not answered yet.
     fn count_used(&self) -> BTreeMap<CustomerName, Amount> {
         let mut used: BTreeMap<CustomerName, Amount> = BTreeMap::new();
         let mut unseen: BTreeMap<CustomerName, Amount> = BTreeMap::new();
@@ -174,22 +176,22 @@
                 continue;
             };
             let sum = used.entry(customer.clone()).or_default();
-            *sum = sum.plus(running(job));
-            if self.may_be_elsewhere(job) {
+            *sum = sum.plus(running_amount(job));
+            if self.may_run_elsewhere(job) {
                 let sum = unseen.entry(customer.clone()).or_default();
-                *sum = sum.plus(waiting(job));
+                *sum = sum.plus(waiting_amount(job));
             }
         }
-        let most = self.pending_room();
+        let limit = self.pending_capacity();
         for (customer, unseen) in unseen {
             let sum = used.entry(customer).or_default();
-            *sum = sum.plus(unseen.least(most));
+            *sum = sum.plus(unseen.least(limit));
         }
         used
     }
 
-    /// Returns what the workers of the predecessor that have not answered can bear at most.
-    fn pending_room(&self) -> Amount {
+    /// Returns the largest capacity that the predecessor's unanswered workers may have.
+    fn pending_capacity(&self) -> Amount {
         let capacities = self.workers.values().map(|worker| worker.info.capacity);
         let largest = capacities.fold(Amount::default(), Amount::max);
         if largest == Amount::default() {
@@ -199,8 +201,8 @@
     }
 }
 
-/// Returns what the runs of a job have.
-fn running(job: &Job) -> Amount {
+/// Returns the amount taken by the runs of a job.
+fn running_amount(job: &Job) -> Amount {
     let of_step = |(id, state): (&crate::task::StepId, &crate::job::StepState)| {
         let runs: usize = state.tasks.iter().map(|task| task.runs.len()).sum();
         job.step(*id).need.times(runs as u32)
@@ -208,8 +210,8 @@
     job.steps.iter().map(of_step).fold(Amount::default(), Amount::plus)
 }
 
-/// Returns what the tasks of a job would have that are not done and of which no run is known.
-fn waiting(job: &Job) -> Amount {
+/// Returns the amount that the job's unfinished tasks without a known run would take.
+fn waiting_amount(job: &Job) -> Amount {
     let of_step = |(id, state): (&crate::task::StepId, &crate::job::StepState)| {
         let tasks = state.tasks.iter().filter(|task| !task.done && task.runs.is_empty());
         job.step(*id).need.times(tasks.count() as u32)
--- a/reachhead_jobs/src/pool/adopt.rs
+++ b/reachhead_jobs/src/pool/recover.rs
@@ -1,4 +1,4 @@
-//! Taking charge of a pool that a predecessor left.
+//! Recovery of a predecessor's jobs, workers and runs after an ownership change.
 
 use reachhead_plan::amount::Amount;
 use reachhead_types::{id::WorkerId, size::Millis};
@@ -6,16 +6,16 @@
 use crate::{
     clock::Tick,
     job::{Job, Phase, Run},
-    pool::{Action, NoteKind, Pending, Pool, StoredJob},
+    pool::{Action, NoteKind, PendingWorker, Pool, StoredJob},
     ports::{RunningEntry, WorkerInfo},
     worker::Worker,
 };
 
 impl Pool {
-    pub(super) fn inherit_job(&mut self, stored: StoredJob, now: Tick, wall: Millis) {
+    pub(super) fn recover_job(&mut self, stored: StoredJob, now: Tick, wall: Millis) {
         let age = Millis(wall.0.saturating_sub(stored.record.accepted.0));
-        self.experience.admit(&stored.record.queue.name, &stored.record.plan);
-        self.fills |= stored.record.plan.has_fills();
+        self.estimator.admit(&stored.record.queue.name, &stored.record.plan);
+        self.has_best_effort |= stored.record.plan.has_fills();
         let mut job = Job::new(stored.id, &stored.record, now - age);
         job.row = Some(stored.row);
         job.inherited = true;
@@ -25,17 +25,18 @@
             job.revision = Some(progress.revision);
         }
         self.jobs.insert(job.id, job);
-        self.settle(stored.id);
+        self.decide_ending(stored.id);
     }
 
-    /// Every worker that the predecessor may have used has to answer the new token, or its leases
-    /// have to lapse, before an inherited task that nobody reports is started again.
-    pub(super) fn inherit_workers(&mut self, effect: Millis, now: Tick) {
+    /// Creates the workers that the predecessor may have used, as pending. Each has to answer the
+    /// new token, or its leases have to expire, before a recovered task that no worker reports is
+    /// restarted.
+    pub(super) fn recover_workers(&mut self, effect: Millis, now: Tick) {
         let until = now + effect;
         for (id, stored) in self.roster.stored.workers.clone() {
             let Some(entry) = stored.entry else {
-                // Where it answers is not known, so nobody can be asked what runs there before it registers again.
-                self.pending.insert(id, Pending { until, closed: None });
+                // Its address is unknown, so it can't be queried before it registers again.
+                self.pending.insert(id, PendingWorker { until, closed: None });
                 continue;
             };
             let info = WorkerInfo {
@@ -53,12 +54,12 @@
             worker.listed = false;
             worker.rostered = entry.closed.is_none();
             self.workers.insert(entry.worker.clone(), worker);
-            self.pending.insert(entry.worker, Pending { until, closed: entry.closed });
+            self.pending.insert(entry.worker, PendingWorker { until, closed: entry.closed });
         }
     }
 
-    /// Tells whether a task of the job that nobody reports may all the same be at work somewhere.
-    pub(super) fn may_be_elsewhere(&self, job: &Job) -> bool {
+    /// Returns whether a task of the job that no worker reports may still run on a pending worker.
+    pub(super) fn may_run_elsewhere(&self, job: &Job) -> bool {
         job.inherited
             && self.pending.values().any(|pending| match (pending.closed, job.row) {
                 (Some(closed), Some(row)) => row <= closed,
@@ -66,10 +67,11 @@
             })
     }
 
-    /// A worker reports a run that this owner did not order.
+    /// Adopts a run that a worker reports and that this owner did not order, or stops it as an
+    /// orphan.
     pub(super) fn adopt(&mut self, worker: &WorkerId, entry: &RunningEntry, now: Tick) {
         let Some(job) = self.jobs.get_mut(&entry.task.job) else {
-            self.stop_stray(worker, entry);
+            self.stop_orphan(worker, entry);
             return;
         };
         let over = job.ending.is_some();
@@ -77,13 +79,13 @@
             job.plan.steps.get(entry.task.step as usize).is_some_and(|step| step.speculative);
         let charge = job.plan.steps.get(entry.task.step as usize).map(|step| step.charge());
         let (Some(task), Some(charge)) = (job.task(entry.task), charge) else {
-            self.stop_stray(worker, entry);
+            self.stop_orphan(worker, entry);
             return;
         };
         let other = task.runs.iter().map(|run| run.number).max();
         let stale = !speculative && other.is_some_and(|other| other > entry.run);
         if task.done || over || stale {
-            self.stop_stray(worker, entry);
+            self.stop_orphan(worker, entry);
             return;
         }
         task.last_run = task.last_run.max(entry.run);
@@ -120,8 +122,8 @@
         );
     }
 
-    /// Stops a run that belongs to no task that should run.
-    fn stop_stray(&mut self, worker: &WorkerId, entry: &RunningEntry) {
+    /// Stops a reported run that belongs to no task that should run.
+    fn stop_orphan(&mut self, worker: &WorkerId, entry: &RunningEntry) {
         let Some(known) = self.workers.get(worker) else {
             return;
         };
@@ -137,10 +139,11 @@
     }
 }
 
-/// A worker that only the roster names is never placed on, so its zone does not matter.
+/// Returns a placeholder zone. A worker known from the roster alone is never placed on, so its zone
+/// does not matter.
 fn unknown_zone() -> reachhead_types::id::ZoneName {
     match "unknown".parse() {
         Ok(zone) => zone,
-        Err(error) => unreachable!("a constant name: {error}"),
+        Err(error) => unreachable!("constant zone name is invalid: {error}"),
     }
 }
--- a/reachhead_jobs/src/pool/recovered_state.rs
+++ b/reachhead_jobs/src/pool/recovered_state.rs
@@ -1,4 +1,4 @@
-//! What an owner finds in the store when it takes charge of a pool.
+//! State that a new owner reads from the store when it takes over a pool.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     clock::Tick, pool::StoredRoster, progress::ProgressRecord, record::JobRecord, shard::Shard,
 };
 
-/// A job as the store has it.
+/// A job as stored.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredJob {
     /// Its id.
@@ -24,7 +24,7 @@
     pub progress: Option<StoredProgress>,
 }
 
-/// A job's progress as the store has it.
+/// A job's progress as stored.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredProgress {
     /// The progress.
@@ -33,17 +33,17 @@
     pub revision: Revision,
 }
 
-/// What an owner finds when it takes charge of a pool.
+/// State that a new owner reads when it takes over a pool.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RecoveredState {
-    /// The jobs that are not over.
+    /// The jobs that have not ended.
     pub jobs: Vec<StoredJob>,
     /// The workers that a predecessor may have used.
     pub roster: StoredRoster,
-    /// The revisions that this owner's raises gave the fences of its parts.
+    /// The revisions of the shards' fences after this owner raised them.
     pub fences: BTreeMap<Shard, Revision>,
-    /// When the lease was last known to be in force; reading the rest may have taken long.
+    /// When the lease was last confirmed; reading the rest may have taken long.
     pub verified: Tick,
-    /// How long an order of the predecessor may still have effect on a worker that does not answer.
+    /// How long orders of the predecessor may still take effect on workers that do not answer.
     pub effect: Millis,
 }
--- a/reachhead_jobs/src/pool/refusal.rs
+++ b/reachhead_jobs/src/pool/refusal.rs
@@ -1,7 +1,7 @@
-//! What the store refuses for what it is: a row that is too long, or a key.
+//! Rows that the store rejects for their content: a row that is too long, or an invalid key.
 //!
-//! Such a transaction never succeeds, however often it is tried, and whatever else is in it would wait with it for good. So it is
-//! halved until the row is alone, and that row is set aside.
+//! Such a transaction never succeeds, and would block everything else in it. It is halved until the
+//! rejected row is alone, and that row is held back.
 
 use std::collections::BTreeMap;
 
@@ -13,77 +13,79 @@
 use super::{Batch, Lane, NoteKind, Pool};
 use crate::clock::Tick;
 
-/// Jobs or workers in a transaction at most, where nothing was refused.
-const ALL: usize = usize::MAX;
+/// Batch size of a lane without rejections.
+const UNLIMITED: usize = usize::MAX;
 
-/// First pause after which a job's refused row is tried again: it may have become shorter.
-const FIRST_PAUSE: Millis = Millis(1000);
+/// First pause before a job's rejected row is retried: it may have become shorter. It doubles up to
+/// [`MAX_RETRY_PAUSE`].
+const MIN_RETRY_PAUSE: Millis = Millis(1000);
 
-/// Longest such pause.
-const LONGEST_PAUSE: Millis = Millis(60_000);
+/// Longest pause before a rejected row is retried.
+const MAX_RETRY_PAUSE: Millis = Millis(60_000);
 
-/// A job whose progress the store refuses.
+/// A job whose progress row the store rejects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Held {
-    /// When it is tried again.
+struct HeldJob {
+    /// When the write is retried.
     until: Tick,
     pause: Millis,
-    /// That time is not there yet.
+    /// The pause is not over yet.
     waits: bool,
 }
 
-/// What was refused, and what follows for the next transactions.
+/// Rejected rows, and the resulting limits on transactions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Refusals {
-    /// Jobs or workers in a lane's next transaction at most.
+    /// Maximum number of jobs or workers in a lane's next transaction.
     sizes: BTreeMap<Lane, usize>,
-    jobs: BTreeMap<JobId, Held>,
-    /// Workers whose rows are refused, and when that was: nothing is started on them.
+    jobs: BTreeMap<JobId, HeldJob>,
+    /// Workers whose rows were rejected, and when. No task is started on them.
     workers: BTreeMap<WorkerId, Tick>,
 }
 
 impl Refusals {
-    /// Returns how many jobs or workers the next transaction of a lane may be about.
-    pub(super) fn most(&self, lane: Lane) -> usize {
-        self.sizes.get(&lane).copied().unwrap_or(ALL)
+    /// Returns the most jobs or workers that the next transaction of a lane may contain.
+    pub(super) fn max_items(&self, lane: Lane) -> usize {
+        self.sizes.get(&lane).copied().unwrap_or(UNLIMITED)
     }
 
-    /// Tells whether a job's progress is not to be written now.
+    /// Returns whether a job's progress row is held back now.
     pub(super) fn holds_job(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some_and(|held| held.waits)
     }
 
-    /// Tells whether a worker's row is not to be written.
+    /// Returns whether a worker's row is held back.
     pub(super) fn holds_worker(&self, id: &WorkerId) -> bool {
         self.workers.contains_key(id)
     }
 
-    /// Takes in that a transaction of a lane was taken: the next may be about twice as much.
-    pub(super) fn taken(&mut self, lane: Lane) {
+    /// Doubles the batch size of a lane after an accepted transaction.
+    pub(super) fn batch_accepted(&mut self, lane: Lane) {
         if let Some(size) = self.sizes.get_mut(&lane) {
             *size = size.saturating_mul(2);
         }
     }
 
-    /// Lets what was set aside for long enough be tried again, and forgets what is not there any more.
+    /// Releases rows whose pause is over, and drops jobs that are gone.
     pub(super) fn expire(&mut self, now: Tick, is_known: impl Fn(JobId) -> bool) {
         self.jobs.retain(|id, _| is_known(*id));
         for held in self.jobs.values_mut() {
             held.waits = held.until > now;
         }
-        self.workers.retain(|_, since| now.since(*since) < LONGEST_PAUSE);
+        self.workers.retain(|_, since| now.since(*since) < MAX_RETRY_PAUSE);
     }
 
     fn hold_job(&mut self, id: JobId, now: Tick) -> Millis {
-        let pause = self.jobs.get(&id).map_or(FIRST_PAUSE, |held| Millis(2 * held.pause.0));
-        let pause = pause.min(LONGEST_PAUSE);
-        self.jobs.insert(id, Held { until: now + pause, pause, waits: true });
+        let pause = self.jobs.get(&id).map_or(MIN_RETRY_PAUSE, |held| Millis(2 * held.pause.0));
+        let pause = pause.min(MAX_RETRY_PAUSE);
+        self.jobs.insert(id, HeldJob { until: now + pause, pause, waits: true });
         pause
     }
 }
 
 impl Pool {
-    /// Takes in that the store refuses a batch for what it is. Halves of it are tried next; what is refused alone is set aside.
+    /// Applies the rejection of a batch for its content. Its halves are tried next; a row that was
+    /// alone is held back.
     pub fn rejected(&mut self, batch: &Batch, now: Tick) {
         let workers = batch.roster.as_ref().map(|update| update.workers()).unwrap_or_default();
         let count = batch.jobs.len() + workers.len();
--- a/reachhead_jobs/src/pool/reports.rs
+++ b/reachhead_jobs/src/pool/reports.rs
@@ -1,4 +1,4 @@
-//! What workers report: their clock, what runs there and what ended.
+//! Processing of workers' reports: clock, running tasks and ended runs.
 
 use reachhead_types::{
     id::{JobId, WorkerId},
@@ -8,35 +8,36 @@
 use crate::{
     clock::{ClockSample, Tick},
     job::{Phase, Run},
-    pool::{Action, DeathEvidence, Note, NoteKind, Orphan, Pool, rebirth::is_newer},
+    pool::{Action, DeathEvidence, Note, NoteKind, Pool, UnclaimedEnd, restarted_worker::is_newer},
     ports::{EndedEntry, Rejection, RunEnd, RunningEntry, WorkerError, WorkerReport},
     record::Ending,
     task::TaskId,
     worker::{Poll, Unrecorded},
 };
 
-/// First pause after a call to a worker that failed, doubled up to [`RETRY_MOST`].
-const RETRY_FIRST: Millis = Millis(100);
+/// First pause after a failed poll, doubled up to [`MAX_POLL_BACKOFF`].
+const MIN_POLL_BACKOFF: Millis = Millis(100);
 
-/// Longest pause between calls to a worker that does not answer.
-const RETRY_MOST: Millis = Millis(800);
+/// Longest pause between polls of a worker that does not answer.
+const MAX_POLL_BACKOFF: Millis = Millis(800);
 
-/// Shortest time between two reports from which a worker's speed is told; its percents are whole.
-const GAUGE_SPAN: Millis = Millis(150);
+/// Shortest time between two reports from which a worker's speed is derived, since progress is
+/// reported in whole percent.
+const MIN_SPEED_SPAN: Millis = Millis(150);
 
-/// Pause before a long poll goes on while ends wait to be recorded; the worker would answer it at
+/// Pause before the next long poll while ends wait to be recorded; the worker would answer it at
 /// once with the same ends.
 const RECORD_PAUSE: Millis = Millis(150);
 
-/// How long a task that runs on is at work until crashes before that say nothing of it any more: otherwise hosts that go
-/// down now and then would add up against it over its life of weeks.
-const FORGIVE_TIME: Millis = Millis(60_000);
+/// Uptime of a long-running task after which its earlier crashes are cleared. Otherwise occasional
+/// host failures would add up against it over weeks.
+const CRASH_RESET_TIME: Millis = Millis(60_000);
 
-/// How long an end of a job that is not known is kept: all stored jobs are read twice in that time.
-const ORPHAN_TIME: Millis = Millis(5000);
+/// How long an end of an unknown job is kept; all stored jobs are read twice in that time.
+const UNCLAIMED_END_RETENTION: Millis = Millis(5000);
 
 impl Pool {
-    /// Takes in the result of a long poll that was sent at `sent`.
+    /// Applies the result of a long poll that was sent at `sent`.
     pub fn held(
         &mut self,
         id: &WorkerId,
@@ -45,24 +46,24 @@
         now: Tick,
     ) {
         match result {
-            Ok(report) => self.report(id, sent, report, now),
+            Ok(report) => self.apply_report(id, sent, report, now),
             Err(WorkerError::Replaced) => self.worker_died(id, DeathEvidence::Replaced, now),
             Err(error) => {
                 if error == WorkerError::Rejected(Rejection::Fenced) {
                     self.actions.push(Action::Fenced);
                 }
-                self.missed(id, &error, now);
+                self.poll_failed(id, &error, now);
             }
         }
     }
 
-    fn missed(&mut self, id: &WorkerId, error: &WorkerError, now: Tick) {
+    fn poll_failed(&mut self, id: &WorkerId, error: &WorkerError, now: Tick) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let pause = RETRY_FIRST.0 << worker.misses.min(8);
+        let pause = MIN_POLL_BACKOFF.0 << worker.misses.min(8);
         worker.misses += 1;
-        worker.poll = Poll::Due(now + Millis(pause.min(RETRY_MOST.0)));
+        worker.poll = Poll::Due(now + Millis(pause.min(MAX_POLL_BACKOFF.0)));
         let first = !worker.silent;
         if first {
             worker.silent_since = now;
@@ -78,24 +79,26 @@
         }
     }
 
-    fn report(&mut self, id: &WorkerId, sent: Tick, report: WorkerReport, now: Tick) {
+    fn apply_report(&mut self, id: &WorkerId, sent: Tick, report: WorkerReport, now: Tick) {
         let Some(worker) = self.workers.get_mut(id) else {
-            // Its life was over before the answer came; what it says of ends is true all the same.
+            // The incarnation was removed before the answer came, but the ends that it reports are
+            // valid.
             for entry in &report.ended {
-                self.end(id, entry, now);
+                self.apply_end(id, entry, now);
             }
             return;
         };
         if is_newer(worker.born, report.born) {
-            // The answer of a life that is over came late. What it lists was never acknowledged, and counts as lost with it.
+            // This is the late answer of a dead incarnation. The ends that it lists were never
+            // acknowledged, and count as lost with it.
             worker.poll = Poll::Due(now);
             return;
         }
         if is_newer(report.born, worker.born) {
-            self.begin_life(id, &report, now);
+            self.begin_incarnation(id, &report, now);
         } else {
             worker.born = report.born.or(worker.born);
-            self.meet(id, &report, now);
+            self.apply_first_report(id, &report, now);
         }
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -111,14 +114,14 @@
         self.pending.remove(id);
         for entry in &report.ended {
             if entry.number > noted {
-                self.end(id, entry, now);
+                self.apply_end(id, entry, now);
             }
         }
         for entry in &report.running {
-            self.see(id, entry, now);
+            self.apply_running(id, entry, now);
         }
-        self.count_strays(id, &report);
-        self.drop_vanished(id, sent, &report);
+        self.count_orphans(id, &report);
+        self.drop_missing_runs(id, sent, &report);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -129,19 +132,19 @@
         worker.poll = Poll::Due(now + pause);
     }
 
-    fn count_strays(&mut self, id: &WorkerId, report: &WorkerReport) {
+    fn count_orphans(&mut self, id: &WorkerId, report: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         let known = |entry: &&RunningEntry| {
             worker.runs.get(&entry.task).is_some_and(|charge| charge.run == entry.run)
         };
-        let strays = report.running.iter().filter(|entry| !known(entry)).count();
-        worker.strays = strays as u32;
+        let orphans = report.running.iter().filter(|entry| !known(entry)).count();
+        worker.strays = orphans as u32;
     }
 
-    /// Learns from a run's progress how fast its worker is.
-    fn gauge(&mut self, id: &WorkerId, entry: &RunningEntry, now: Tick) {
+    /// Updates the worker's speed estimate from a run's progress.
+    fn observe_speed(&mut self, id: &WorkerId, entry: &RunningEntry, now: Tick) {
         let Some(job) = self.jobs.get(&entry.task.job) else {
             return;
         };
@@ -157,18 +160,18 @@
             return;
         };
         let span = now.since(run.seen_at).0 as f64;
-        if step.long_running || step.gang || span < GAUGE_SPAN.0 as f64 {
+        if step.long_running || step.gang || span < MIN_SPEED_SPAN.0 as f64 {
             return;
         }
-        let usual = self.experience.predict(&job.queue.name, step).0 as f64 / 100.0;
+        let usual = self.estimator.predict(&job.queue.name, step).0 as f64 / 100.0;
         let share = f64::from(entry.percent.saturating_sub(run.percent)) * usual / span;
         if let Some(worker) = self.workers.get_mut(id) {
             worker.speed.observe(share, now);
         }
     }
 
-    fn see(&mut self, id: &WorkerId, entry: &RunningEntry, now: Tick) {
-        self.gauge(id, entry, now);
+    fn apply_running(&mut self, id: &WorkerId, entry: &RunningEntry, now: Tick) {
+        self.observe_speed(id, entry, now);
         let job = self.jobs.get_mut(&entry.task.job);
         let run = job.and_then(|job| job.task(entry.task)).and_then(|task| task.run(entry.run));
         let Some(run) = run.filter(|run| run.worker == *id) else {
@@ -189,12 +192,12 @@
         run.figure = entry.figure;
         let worked = run.has_worked();
         let age = now.since(run.since);
-        let settled = run.at_work() && now.since(run.moved) >= FORGIVE_TIME;
+        let settled = run.at_work() && now.since(run.moved) >= CRASH_RESET_TIME;
         if worked {
             self.clear_trial(id, entry, age);
         }
         if settled {
-            self.forgive(entry.task);
+            self.clear_crashes(entry.task);
         }
         if let Some(checkpoint) = &entry.checkpoint {
             self.keep_checkpoint(entry.task, checkpoint);
@@ -208,9 +211,9 @@
         }
     }
 
-    /// Drops runs that the worker had confirmed, or barred, before the report was asked for, and
-    /// that the report does not have.
-    fn drop_vanished(&mut self, id: &WorkerId, sent: Tick, report: &WorkerReport) {
+    /// Drops runs that the worker had confirmed or barred before the report was requested, and that
+    /// the report does not list.
+    fn drop_missing_runs(&mut self, id: &WorkerId, sent: Tick, report: &WorkerReport) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -238,19 +241,19 @@
                     NoteKind::RunLost,
                     format!("task={} run={} worker={id} end=vanished", entry.task, entry.run),
                 );
-                self.take_run(id, entry.task, entry.run);
+                self.remove_run(id, entry.task, entry.run);
             }
         }
     }
 
-    /// Takes in the end of a run.
-    fn end(&mut self, id: &WorkerId, entry: &EndedEntry, now: Tick) {
+    /// Applies the end of a run.
+    fn apply_end(&mut self, id: &WorkerId, entry: &EndedEntry, now: Tick) {
         if let Some(checkpoint) = &entry.checkpoint {
             self.keep_checkpoint(entry.task, checkpoint);
         }
-        let run = self.take_run(id, entry.task, entry.run);
+        let run = self.remove_run(id, entry.task, entry.run);
         if !self.jobs.contains_key(&entry.task.job) {
-            self.keep_orphan(id, entry, now);
+            self.keep_unclaimed_end(id, entry, now);
         }
         let Some(job) = self.jobs.get_mut(&entry.task.job) else {
             return;
@@ -260,7 +263,8 @@
         };
         if let Some(task) = job.task(entry.task) {
             task.last_run = task.last_run.max(entry.run);
-            // Copies of a task that is done, or members of a gang that lost one, have to be stopped.
+            // Remaining copies of a finished task, or of a gang that lost a member, have to be
+            // stopped.
             self.review |= step.gang || entry.end != RunEnd::Done || !task.runs.is_empty();
         }
         if step.long_running {
@@ -283,10 +287,10 @@
                 let queue = job.queue.name.clone();
                 if job.finish(entry.task) {
                     job.begun = true;
-                    self.mark_end(id, entry);
+                    self.retain_end(id, entry);
                 }
                 if let Some(run) = run.filter(|run| !run.adopted && run.ticket.is_none()) {
-                    self.experience.learn(&queue, step.estimate, now.since(run.since));
+                    self.estimator.learn(&queue, step.estimate, now.since(run.since));
                 }
                 if let Some(worker) = self.workers.get_mut(id) {
                     worker.conduct.succeed();
@@ -299,9 +303,9 @@
                 }
                 if job.fail(counted, entry.run) {
                     job.begun = true;
-                    self.mark_end(id, entry);
+                    self.retain_end(id, entry);
                 }
-                self.blame(id, entry, now);
+                self.count_failure(id, entry, now);
             }
             RunEnd::Stopped | RunEnd::Lapsed | RunEnd::Broken | RunEnd::Alone => {
                 let text = format!(
@@ -311,11 +315,11 @@
                 self.note(NoteKind::RunLost, text);
             }
         }
-        self.settle(entry.task.job);
+        self.decide_ending(entry.task.job);
     }
 
-    /// Keeps an end of a job that is not known, and lets its worker not forget it.
-    fn keep_orphan(&mut self, id: &WorkerId, entry: &EndedEntry, now: Tick) {
+    /// Keeps an end of an unknown job, and keeps its worker from dropping it.
+    fn keep_unclaimed_end(&mut self, id: &WorkerId, entry: &EndedEntry, now: Tick) {
         let counts = matches!(entry.end, RunEnd::Done | RunEnd::Failed);
         if !counts || self.closed.contains_key(&entry.task.job) {
             return;
@@ -324,51 +328,60 @@
             let end = Unrecorded { job: entry.task.job, written: false };
             worker.unrecorded.insert(entry.number, end);
         }
-        self.orphans.push(Orphan { worker: id.clone(), entry: entry.clone(), since: now });
+        self.unclaimed_ends.push(UnclaimedEnd {
+            worker: id.clone(),
+            entry: entry.clone(),
+            since: now,
+        });
     }
 
-    /// Takes in the ends of a job that came before the job.
-    pub(super) fn claim_orphans(&mut self, id: JobId, now: Tick) {
-        let (own, others) = self.orphans.drain(..).partition(|orphan| orphan.entry.task.job == id);
-        self.orphans = others;
-        let own: Vec<Orphan> = own;
-        for orphan in own {
-            self.end(&orphan.worker, &orphan.entry, now);
+    /// Applies the ends that were reported before the job became known.
+    pub(super) fn claim_ends(&mut self, id: JobId, now: Tick) {
+        let (own, others) =
+            self.unclaimed_ends.drain(..).partition(|unclaimed| unclaimed.entry.task.job == id);
+        self.unclaimed_ends = others;
+        let own: Vec<UnclaimedEnd> = own;
+        for unclaimed in own {
+            self.apply_end(&unclaimed.worker, &unclaimed.entry, now);
         }
     }
 
-    /// Forgets ends of jobs of which nobody has told meanwhile.
-    pub(super) fn expire_orphans(&mut self, now: Tick) {
-        let old = |orphan: &Orphan| now.since(orphan.since) >= ORPHAN_TIME;
-        let (over, left) = self.orphans.drain(..).partition(old);
-        self.orphans = left;
-        let over: Vec<Orphan> = over;
-        for orphan in over {
-            let job = orphan.entry.task.job;
+    /// Drops kept ends whose jobs stayed unknown.
+    pub(super) fn expire_unclaimed_ends(&mut self, now: Tick) {
+        let is_expired =
+            |unclaimed: &UnclaimedEnd| now.since(unclaimed.since) >= UNCLAIMED_END_RETENTION;
+        let (expired, left) = self.unclaimed_ends.drain(..).partition(is_expired);
+        self.unclaimed_ends = left;
+        let expired: Vec<UnclaimedEnd> = expired;
+        for unclaimed in expired {
+            let job = unclaimed.entry.task.job;
             self.note(
                 NoteKind::RunLost,
-                format!("task={} worker={} end=unknown-job", orphan.entry.task, orphan.worker),
+                format!(
+                    "task={} worker={} end=unknown-job",
+                    unclaimed.entry.task, unclaimed.worker
+                ),
             );
-            if let Some(worker) = self.workers.get_mut(&orphan.worker) {
+            if let Some(worker) = self.workers.get_mut(&unclaimed.worker) {
                 worker.write(job);
                 worker.record(job);
             }
         }
     }
 
-    /// Notes that an end has to be recorded before the worker may forget it.
-    fn mark_end(&mut self, id: &WorkerId, entry: &EndedEntry) {
+    /// Marks an end as to be recorded before the worker may drop it.
+    fn retain_end(&mut self, id: &WorkerId, entry: &EndedEntry) {
         if self.jobs.get(&entry.task.job).is_none_or(|job| job.recorded) {
             return;
         }
-        self.mark(entry.task.job);
+        self.mark_dirty(entry.task.job);
         if let Some(worker) = self.workers.get_mut(id) {
             let end = Unrecorded { job: entry.task.job, written: false };
             worker.unrecorded.insert(entry.number, end);
         }
     }
 
-    fn blame(&mut self, id: &WorkerId, entry: &EndedEntry, now: Tick) {
+    fn count_failure(&mut self, id: &WorkerId, entry: &EndedEntry, now: Tick) {
         self.note(
             NoteKind::RunLost,
             format!("task={} run={} worker={id} end=Failed", entry.task, entry.run),
@@ -381,8 +394,8 @@
         }
     }
 
-    /// Decides whether a job is over by what its tasks did.
-    pub(super) fn settle(&mut self, id: JobId) {
+    /// Ends a job that is complete or has failed, by the state of its tasks.
+    pub(super) fn decide_ending(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.ending.is_none()) else {
             return;
         };
@@ -393,11 +406,11 @@
         } else {
             return;
         }
-        self.mark(id);
+        self.mark_dirty(id);
     }
 
     /// Removes a run from its task and its worker, and returns it.
-    pub(super) fn take_run(
+    pub(super) fn remove_run(
         &mut self,
         id: &WorkerId,
         task: TaskId,
--- a/reachhead_jobs/src/pool/rebirth.rs
+++ b/reachhead_jobs/src/pool/restarted_worker.rs
@@ -1,7 +1,8 @@
-//! Workers that start again under the id that they had.
+//! Restarted workers: a new incarnation of a worker under the same id.
 //!
-//! Load: workers crash and are back within a second or two, often before anybody has noticed. The new life holds nothing, and its
-//! clock and the numbers of its ends begin anew: taken for the old one it would be told to forget ends that nobody has read.
+//! Workers crash and are back within a second or two, often before the crash is noticed. The new
+//! incarnation has no runs, and its clock and the numbers of its ends start over: mistaken for the
+//! old one, it would be allowed to drop ends that have not been read.
 
 use reachhead_types::{id::WorkerId, size::Millis};
 
@@ -14,45 +15,48 @@
     worker::{LostOrder, Speed},
 };
 
-/// How long after its beginning a life may have been given orders that were meant for the one before, by whoever had not noticed.
-const YOUNG_TIME: Millis = Millis(20_000);
+/// Age up to which an incarnation may have received orders meant for the previous one, from a
+/// process that had not noticed the restart.
+const YOUNG_INCARNATION_AGE: Millis = Millis(20_000);
 
-/// Tells whether a life that began at `life` is newer than one that began at `known`; lives that do not say when they began
-/// are one.
+/// Returns whether the incarnation started at `life` is newer than the one started at `known`.
+/// Unknown start times count as the same incarnation.
 pub(super) fn is_newer(life: Option<Millis>, known: Option<Millis>) -> bool {
     matches!((life, known), (Some(life), Some(known)) if life > known)
 }
 
 impl Pool {
-    /// Takes in that a report is of another life of the worker than what is known of it. What ran in the old one is over as after
-    /// a crash. Orders that were not answered may still come to the new one, so they are barred there.
-    pub(super) fn begin_life(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
+    /// Replaces the known incarnation of a worker by the one that sent `report`. The runs of the
+    /// old one have ended as in a crash. Unanswered orders may still reach the new one, so they are
+    /// barred there.
+    pub(super) fn begin_incarnation(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         let known = worker.born;
-        let mut involved = self.involved(worker);
+        let mut involved = self.crash_suspects(worker);
         involved.extend(worker.lapsed.iter().copied());
         let worker = worker.clone();
         if !worker.runs.is_empty() {
-            self.note_crash(&worker, now);
+            self.log_crash(&worker, now);
         }
         let runs = worker.runs.clone();
         let planned = worker.info.draining || worker.cordoned > now;
         for (task, charge) in runs {
             let kept =
                 report.running.iter().any(|entry| entry.task == task && entry.run == charge.run);
-            if !kept && !self.bar(task, id) {
-                self.take_run(id, task, charge.run);
+            if !kept && !self.bar_run(task, id) {
+                self.remove_run(id, task, charge.run);
             }
         }
-        self.bar_lost(id);
+        self.bar_lost_orders(id);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.born = report.born;
             worker.noted = 0;
             worker.seen = 0;
             worker.unrecorded.clear();
-            // The call that was answered had a deadline by the old clock, for which the longest lease is granted that there is.
+            // The answered call had a deadline by the old clock, for which a worker grants its
+            // longest lease.
             worker.granted = WorkerTime(report.clock.0 + self.timeouts.grant.0);
             worker.speed = Speed::new(now);
             worker.begin_life(now);
@@ -67,26 +71,27 @@
         );
         if !planned {
             for involved in involved {
-                self.blame_task(involved);
+                self.count_crash(involved);
             }
         }
     }
 
-    /// Takes in the first report of a worker. In a young life a predecessor may have taken it for the one before, and have prolonged
-    /// its lease by that one's clock.
-    pub(super) fn meet(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
-        let (epoch, grant) = (self.epoch, self.timeouts.grant);
+    /// Processes a worker's first report. A predecessor may have mistaken a young incarnation for
+    /// the previous one, and have extended its lease by the old clock.
+    pub(super) fn apply_first_report(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
+        let (epoch, grant) = (self.wall_offset, self.timeouts.grant);
         let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.answered) else {
             return;
         };
         let age = report.born.map(|born| Millis((epoch.0 + now.0).saturating_sub(born.0)));
-        if age.is_some_and(|age| age < YOUNG_TIME) {
+        if age.is_some_and(|age| age < YOUNG_INCARNATION_AGE) {
             worker.granted = worker.granted.max(WorkerTime(report.clock.0 + grant.0));
         }
     }
 
-    /// Bars runs that are over, of which an order may still come: the new life does not know that.
-    fn bar_lost(&mut self, id: &WorkerId) {
+    /// Bars ended runs whose start orders may still arrive, since the new incarnation does not know
+    /// them.
+    fn bar_lost_orders(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -100,8 +105,8 @@
         }
     }
 
-    /// Bars a run of which an order may still come; tells whether that was so.
-    fn bar(&mut self, id: TaskId, worker: &WorkerId) -> bool {
+    /// Bars a run whose start order may still arrive, and returns whether there was one.
+    fn bar_run(&mut self, id: TaskId, worker: &WorkerId) -> bool {
         let task = self.jobs.get_mut(&id.job).and_then(|job| job.task(id));
         let run = task.and_then(|task| task.runs.iter_mut().find(|run| run.worker == *worker));
         let Some(run) = run.filter(|run| run.settled.is_none() || run.doubtful) else {
--- a/reachhead_jobs/src/pool/roster.rs
+++ b/reachhead_jobs/src/pool/roster.rs
@@ -1,7 +1,7 @@
-//! The workers that a pool may have used, as the store keeps them: a row for each.
+//! Roster of the workers that a pool may have used, stored as one row per worker.
 //!
-//! Load: pools of thousands of workers, of which some join and leave every second. What is written and read follows what
-//! changes, and no row grows with the pool.
+//! In pools of thousands of workers some join and leave every second. The amount read and written
+//! is proportional to the changes, and no row grows with the pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,47 +18,49 @@
     worker::Worker,
 };
 
-/// How long a worker must be silent before the roster says that nothing new is started there.
-const CLOSE_TIME: Millis = Millis(500);
+/// How long a worker must be unreachable before the roster lists it as closed to new tasks.
+const CLOSE_DELAY: Millis = Millis(500);
 
-/// How often the roster is compared with the workers; a worker that joins waits for it that much longer.
-const ROSTER_PERIOD: Millis = Millis(40);
+/// Period of the comparison of the roster with the workers; a joining worker waits that much
+/// longer.
+const ROSTER_CHECK_PERIOD: Millis = Millis(40);
 
-/// Workers in a transaction at most: each takes a check and a write of the hundred that the platform's contract permits.
-const CHANGES_MOST: usize = 48;
+/// Maximum number of workers in a transaction: each takes a check and a write of the hundred entries that the
+/// platform's contract permits.
+const MAX_CHANGES: usize = 48;
 
-/// A worker of the roster as the store has it.
+/// A worker of the roster as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoredWorker {
-    /// What the roster says of it; `None` if that can't be read.
+    /// Its entry; `None` if that can't be read.
     pub entry: Option<RosterEntry>,
-    /// The revision of its row; `None` if it is only in a row of the whole roster.
+    /// The revision of its row; `None` if it is only in the row of the whole roster.
     pub revision: Option<Revision>,
 }
 
 impl StoredWorker {
-    /// Tells whether tasks are started there.
+    /// Returns whether the worker is open to new tasks.
     pub(super) fn is_open(&self) -> bool {
         self.entry.as_ref().is_some_and(|entry| entry.closed.is_none())
     }
 }
 
-/// The roster as the store has it.
+/// The roster as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoredRoster {
     /// The workers.
     pub workers: BTreeMap<WorkerId, StoredWorker>,
-    /// The revision of the row in which an earlier release kept all of them.
+    /// The revision of the row in which an earlier release stored the whole roster.
     pub whole: Option<Revision>,
 }
 
 impl StoredRoster {
-    /// Returns the roster that these rows make up, and what is wrong with those that can't be read. Such a row still
-    /// says that its worker may have been used.
+    /// Parses the roster from its rows, and returns it with the errors of unreadable rows. An
+    /// unreadable row still shows that its worker may have been used.
     pub fn read(rows: &[Row]) -> (Self, Vec<String>) {
         let mut roster = Self::default();
         let mut errors = Vec::new();
-        // Rows of single workers are newer than the row of them all.
+        // Rows of single workers are newer than the row of the whole roster.
         for row in rows.iter().filter(|row| roster_worker(&row.key).is_none()) {
             roster.whole = Some(row.revision);
             match row.parse::<Roster>() {
@@ -86,14 +88,14 @@
     }
 }
 
-/// A worker whose row is to be written, or deleted.
+/// A row to be written, or deleted if `entry` is `None`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Change {
     worker: WorkerId,
     entry: Option<RosterEntry>,
 }
 
-/// What a transaction says of the roster.
+/// Changes to the roster in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(super) struct RosterUpdate {
     changes: Vec<Change>,
@@ -102,19 +104,19 @@
 }
 
 impl RosterUpdate {
-    /// Returns the workers that it is about.
+    /// Returns the changed workers.
     pub(super) fn workers(&self) -> Vec<WorkerId> {
         self.changes.iter().map(|change| change.worker.clone()).collect()
     }
 }
 
-/// The roster and what of it is known to be stored.
+/// The stored roster and the pending changes to it.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(super) struct RosterState {
     pub(super) stored: StoredRoster,
-    /// What has to be written for the store to have the roster as it should be.
+    /// Changes that bring the stored roster up to date.
     wanted: RosterUpdate,
-    /// When the two are compared again.
+    /// When the roster is compared with the workers next.
     pub(super) next: Tick,
 }
 
@@ -123,27 +125,27 @@
         Self { stored, ..Self::default() }
     }
 
-    /// Tells whether the store has a worker as one on which tasks are started.
+    /// Returns whether a worker is stored as open to new tasks.
     pub(super) fn is_open(&self, worker: &WorkerId) -> bool {
         self.stored.workers.get(worker).is_some_and(StoredWorker::is_open)
     }
 
-    /// Tells whether something is to be written.
+    /// Returns whether there are changes to write.
     pub(super) fn is_due(&self) -> bool {
         !self.wanted.changes.is_empty() || self.wanted.whole
     }
 }
 
 impl Pool {
-    /// Returns the next transaction about the roster. Each row is checked, so that a transaction whose answer was lost
-    /// does not undo a later one.
+    /// Returns the next transaction on the roster. Each row is checked, so that a transaction whose
+    /// answer was lost does not undo a later one.
     pub(super) fn roster_batch(&self) -> Option<Batch> {
         if !self.roster.is_due() {
             return None;
         }
         let mut txn = Txn::new().with_check(lease_key(&self.name), Some(Revision(self.token.0)));
         let mut update = RosterUpdate::default();
-        let most = CHANGES_MOST.min(self.refusals.most(Lane::Roster));
+        let most = MAX_CHANGES.min(self.refusals.max_items(Lane::Roster));
         for change in self.roster.wanted.changes.iter().take(most) {
             let key = roster_key(&self.name, &change.worker);
             let stored = self.roster.stored.workers.get(&change.worker);
@@ -162,15 +164,15 @@
         Some(Batch { txn, lane: Lane::Roster, jobs: Vec::new(), roster: Some(update) })
     }
 
-    /// Looks now and then whether the roster has to be written.
+    /// Compares the roster with the workers, once per [`ROSTER_CHECK_PERIOD`].
     pub(super) fn check_roster(&mut self, now: Tick) {
         if self.roster.next <= now {
-            self.roster.next = now + ROSTER_PERIOD;
+            self.roster.next = now + ROSTER_CHECK_PERIOD;
             self.roster.wanted = self.wanted_roster(now);
         }
     }
 
-    /// Returns what has to be written for the roster to be as it should be.
+    /// Returns the changes that bring the stored roster up to date.
     fn wanted_roster(&self, now: Tick) -> RosterUpdate {
         let stored = &self.roster.stored;
         let mut changes = Vec::new();
@@ -209,10 +211,10 @@
         known: Option<&StoredWorker>,
         now: Tick,
     ) -> RosterEntry {
-        let quiet = worker.silent && now.since(worker.silent_since) >= CLOSE_TIME;
+        let quiet = worker.silent && now.since(worker.silent_since) >= CLOSE_DELAY;
         let closed = known.and_then(|known| known.entry.as_ref()).and_then(|entry| entry.closed);
         let closed = match closed {
-            // What was closed stays so until it answers.
+            // A closed worker stays closed until it answers.
             Some(closed) if worker.silent || !worker.answered => Some(closed),
             _ if quiet && worker.answered => Some(self.newest_row()),
             _ => None,
@@ -224,8 +226,8 @@
         self.jobs.values().filter_map(|job| job.row).max().unwrap_or_default()
     }
 
-    /// Takes in that an update of the roster is in force.
-    pub(super) fn rostered(&mut self, update: &RosterUpdate, revision: Revision) {
+    /// Applies a committed update of the roster.
+    pub(super) fn apply_roster_update(&mut self, update: &RosterUpdate, revision: Revision) {
         if update.whole {
             self.roster.stored.whole = None;
         }
@@ -249,7 +251,7 @@
         self.roster.next = Tick(0);
     }
 
-    /// Takes in that a row of the roster is not what was thought; tells whether the key is one of them.
+    /// Applies a conflict on a row of the roster, and returns whether the key is one of the roster.
     pub(super) fn correct_roster(&mut self, conflict: &Conflict) -> bool {
         if conflict.key == whole_roster_key(&self.name) {
             self.roster.stored.whole = conflict.row.as_ref().map(|row| row.revision);
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -1,4 +1,4 @@
-//! Placing tasks: which start now, and where.
+//! Task placement: which tasks start now, and where.
 
 use std::{
     cmp::Reverse,
@@ -24,69 +24,70 @@
     worker::{Reservation, Worker},
 };
 
-/// How long room is kept for a task that runs on while short tasks there are being stopped.
-const RESERVE_TIME: Millis = Millis(1500);
+/// How long capacity is reserved for a long-running task while short tasks are stopped there.
+const RESERVATION_DURATION: Millis = Millis(1500);
 
-/// Steps of jobs that are looked at without room for them before a round ends.
-const FAILED_STEPS: usize = 24;
+/// Steps without a place after which a scheduling round ends.
+const MAX_FAILED_STEPS: usize = 24;
 
-/// A job and its place in the order.
+/// A job and its rank in the scheduling order.
 pub(super) struct Ranked {
     pub(super) id: JobId,
     pub(super) rank: Rank,
 }
 
-/// Short tasks to be stopped on a worker.
+/// Short tasks to evict from a worker.
 struct Eviction {
     worker: WorkerId,
     tasks: Vec<TaskId>,
 }
 
-/// A short task that works.
-struct Short {
+/// A running short task.
+struct ShortRun {
     since: Tick,
     task: TaskId,
 }
 
 impl Pool {
-    /// Starts what can start, the worthiest first.
-    pub(super) fn place(&mut self, now: Tick) {
-        self.begin_quotas(now);
+    /// Starts tasks in rank order.
+    pub(super) fn place_tasks(&mut self, now: Tick) {
+        self.begin_quota_round(now);
         let mut ranked: Vec<Ranked> = self
             .jobs
             .values()
-            .filter(|job| job.ending.is_none() && has_waiting(job))
-            .filter(|job| !self.may_be_elsewhere(job))
-            .map(|job| Ranked { id: job.id, rank: self.experience.rank(job, now) })
+            .filter(|job| job.ending.is_none() && has_waiting_tasks(job))
+            .filter(|job| !self.may_run_elsewhere(job))
+            .map(|job| Ranked { id: job.id, rank: self.estimator.rank(job, now) })
             .collect();
         ranked.sort_by(|a, b| a.rank.order(b.rank).then(a.id.cmp(&b.id)));
-        let ranked = self.bound_expiring(ranked, now);
+        let ranked = self.cap_expiring(ranked, now);
         let mut failed = 0;
-        let mut room = self.largest_room(now);
+        let mut free = self.largest_free(now);
         for job in ranked {
             let steps: Vec<StepId> = self.jobs[&job.id].steps.keys().copied().collect();
             for step in steps {
-                if !self.place_step(step, job.rank.class, &mut room, now) {
+                if !self.place_step(step, job.rank.class, &mut free, now) {
                     failed += 1;
                 }
             }
-            if failed > FAILED_STEPS {
+            if failed > MAX_FAILED_STEPS {
                 break;
             }
         }
-        self.tell_quotas(now);
+        self.log_quotas(now);
     }
 
-    /// Returns the most of each resource that is free on any worker.
-    fn largest_room(&self, now: Tick) -> Amount {
+    /// Returns the largest free amount of each resource on any usable worker.
+    fn largest_free(&self, now: Tick) -> Amount {
         let usable = self.workers.values().filter(|worker| worker.accepts(now));
         usable.fold(Amount::default(), |most, worker| most.max(worker.free()))
     }
 
-    /// Places what it can of a step; tells whether everything that may start has room.
+    /// Places tasks of a step, and returns whether every task that may start found a place.
     ///
-    /// `room` is the largest room on any worker, or more: what needs more than that is not looked for.
-    fn place_step(&mut self, id: StepId, class: Class, room: &mut Amount, now: Tick) -> bool {
+    /// `free` bounds the free capacity of every worker from above: tasks that need more are not
+    /// searched for.
+    fn place_step(&mut self, id: StepId, class: Class, free: &mut Amount, now: Tick) -> bool {
         let job = &self.jobs[&id.job];
         let state = &job.steps[&id];
         if state.is_done() || !job.is_ready(id) {
@@ -97,8 +98,10 @@
         let unrecorded = self.dirty.contains(&id.job);
         let waiting: Vec<u32> = (0..)
             .zip(&state.tasks)
-            .filter(|(_, task)| waits(task, now) || (speculative && self.wants_copy(id, task, now)))
-            // A successor must know of the crashes before the task can cause another.
+            .filter(|(_, task)| {
+                is_waiting(task, now) || (speculative && self.needs_copy(id, task, now))
+            })
+            // A successor must know about the crashes before the task can cause another.
             .filter(|(_, task)| !(unrecorded && task.crashes.is_suspect()))
             .map(|(index, _)| index)
             .collect();
@@ -108,7 +111,7 @@
         let step = job.step(id).clone();
         let allowed = if advised { self.advice.approved(id, now) } else { None };
         if advised && allowed.as_ref().is_none_or(BTreeSet::is_empty) {
-            self.ask_advice(id, now);
+            self.request_advice(id, now);
             return true;
         }
         if step.gang {
@@ -117,7 +120,7 @@
         let rest = waiting.len();
         let mut started = Vec::new();
         for index in waiting {
-            let possible = step.charge().fits(*room);
+            let possible = step.charge().fits(*free);
             if possible && !self.within_quota(id.job, step.need) {
                 self.hold_back(id.job, step.need, (rest - started.len()) as u32);
                 break;
@@ -129,23 +132,23 @@
             }
             let Some(worker) = placed else {
                 if possible {
-                    *room = self.largest_room(now);
+                    *free = self.largest_free(now);
                 }
                 if class == Class::LongRunning {
-                    self.make_room(id, &step, now);
+                    self.preempt_short_tasks(id, &step, now);
                 }
-                self.note_placed(id, class, &started, rest);
+                self.log_placed(id, class, &started, rest);
                 return false;
             };
             let number = self.next_run(id, index);
             started.push(format!("{index}@{worker}"));
-            self.start(id.task(index), &step, worker, number, now);
+            self.start_run(id.task(index), &step, worker, number, now);
         }
-        self.note_placed(id, class, &started, rest);
+        self.log_placed(id, class, &started, rest);
         true
     }
 
-    fn note_placed(&mut self, id: StepId, class: Class, started: &[String], waited: usize) {
+    fn log_placed(&mut self, id: StepId, class: Class, started: &[String], waited: usize) {
         if !started.is_empty() {
             let text = format!(
                 "job={} step={}.{} class={class:?} token={} tasks={} waited={waited}",
@@ -159,7 +162,7 @@
         }
     }
 
-    /// All members of a gang start together or none does.
+    /// Starts all members of a gang together, or none.
     fn place_gang(
         &mut self,
         id: StepId,
@@ -168,7 +171,7 @@
         now: Tick,
     ) -> bool {
         let state = &self.jobs[&id.job].steps[&id];
-        let settled = state.tasks.iter().all(|task| waits(task, now));
+        let settled = state.tasks.iter().all(|task| is_waiting(task, now));
         let suspect = state.tasks.iter().any(|task| task.crashes.is_suspect());
         if !settled || (suspect && self.dirty.contains(&id.job)) {
             return true;
@@ -183,7 +186,7 @@
             let Some(worker) = self.find(id.task(index), step, allowed, now) else {
                 break;
             };
-            // The room is taken at once, so that the next member does not count on it.
+            // The capacity is taken at once, so that the next member does not count on it.
             if let Some(known) = self.workers.get_mut(&worker) {
                 known.charge(id.task(index), RunNumber(0), step.charge());
             }
@@ -206,14 +209,14 @@
             {
                 task.checkpoint.clone_from(&checkpoint);
             }
-            self.start(id.task(index), step, worker, number, now);
+            self.start_run(id.task(index), step, worker, number, now);
         }
         true
     }
 
-    /// Tells whether a task should have a second run beside its only one: the worker does not answer,
-    /// or is slow and the task is overdue.
-    fn wants_copy(&self, id: StepId, task: &Task, now: Tick) -> bool {
+    /// Returns whether a task should get a speculative copy of its only run: the worker does not
+    /// answer, or is slow and the task is overdue.
+    fn needs_copy(&self, id: StepId, task: &Task, now: Tick) -> bool {
         let [run] = task.runs.as_slice() else {
             return false;
         };
@@ -221,9 +224,9 @@
             return false;
         };
         let job = &self.jobs[&id.job];
-        let usual = self.experience.predict(&job.queue.name, job.step(id));
+        let usual = self.estimator.predict(&job.queue.name, job.step(id));
         let overdue = now.since(run.since) > usual;
-        // A second worker must not crash before it is known whether the first one has.
+        // A second worker must not be put at risk before it is known whether the first one crashed.
         !task.done
             && task.crashes.is_empty()
             && (worker.silent || (overdue && worker.speed.is_slow(now)))
@@ -238,7 +241,7 @@
     ) -> Option<WorkerId> {
         let state = &self.jobs[&id.job].steps[&id.step_id()];
         let rack = if step.same_rack { self.rack_of(&state.tasks) } else { None };
-        let lasting = step.long_running.then(|| self.lasting_workers());
+        let long_running = step.long_running.then(|| self.long_running_workers());
         let trial = state.tasks[id.index as usize].crashes.is_suspect();
         let wanted = Wanted {
             id: id.step_id(),
@@ -246,19 +249,19 @@
             step,
             avoid: &state.tasks[id.index as usize].avoid,
             rack: rack.as_ref(),
-            lasting: lasting.as_ref(),
+            lasting: long_running.as_ref(),
             trial,
         };
         let workers = self
             .workers
             .values()
             .filter(|worker| allowed.is_none_or(|allowed| allowed.contains(&worker.info.id)))
-            .filter(|worker| !trial || self.fresh_on(worker).is_empty());
+            .filter(|worker| !trial || self.starting_tasks(worker).is_empty());
         place::choose(&wanted, workers, now).map(|worker| worker.info.id.clone())
     }
 
-    /// Tells whether a task that may crash its worker has room, and only waits for a worker on which nothing else is just
-    /// being started.
+    /// Returns whether a task on trial fits, and only waits for a worker on which no other task is
+    /// starting.
     fn waits_for_trial(&self, id: TaskId, step: &Step, now: Tick) -> bool {
         let state = &self.jobs[&id.job].steps[&id.step_id()];
         let wanted = Wanted {
@@ -274,10 +277,10 @@
         suspect && self.workers.values().any(|worker| wanted.fits(worker, now))
     }
 
-    /// Returns the workers with tasks that run on.
-    fn lasting_workers(&self) -> BTreeSet<WorkerId> {
-        let lasting = self.jobs.values().filter(|job| job.plan.long_running());
-        let tasks = lasting.flat_map(|job| job.steps.values()).flat_map(|step| &step.tasks);
+    /// Returns the workers with long-running tasks.
+    fn long_running_workers(&self) -> BTreeSet<WorkerId> {
+        let jobs = self.jobs.values().filter(|job| job.plan.long_running());
+        let tasks = jobs.flat_map(|job| job.steps.values()).flat_map(|step| &step.tasks);
         tasks.flat_map(|task| &task.runs).map(|run| run.worker.clone()).collect()
     }
 
@@ -291,7 +294,14 @@
         RunNumber(task.last_run.0.max(self.term * RUNS_PER_TERM) + 1)
     }
 
-    fn start(&mut self, id: TaskId, step: &Step, worker: WorkerId, number: RunNumber, now: Tick) {
+    fn start_run(
+        &mut self,
+        id: TaskId,
+        step: &Step,
+        worker: WorkerId,
+        number: RunNumber,
+        now: Tick,
+    ) {
         let hold = self.timeouts.hold;
         let Some(known) = self.workers.get_mut(&worker) else {
             return;
@@ -343,8 +353,9 @@
         self.actions.push(Action::Start(target, order));
     }
 
-    /// Stops short tasks where that gives a task that runs on its room soonest.
-    fn make_room(&mut self, id: StepId, step: &Step, now: Tick) {
+    /// Makes room for a long-running task by evicting short tasks, on the worker where the fewest have
+    /// to stop.
+    fn preempt_short_tasks(&mut self, id: StepId, step: &Step, now: Tick) {
         let reserved = |worker: &Worker| {
             worker.reserved.is_some_and(|kept| kept.until > now && kept.step == id)
         };
@@ -364,7 +375,7 @@
             return;
         };
         if let Some(known) = self.workers.get_mut(&worker) {
-            known.reserved = Some(Reservation { step: id, until: now + RESERVE_TIME });
+            known.reserved = Some(Reservation { step: id, until: now + RESERVATION_DURATION });
         }
         for task in tasks {
             let state = self.jobs.get_mut(&task.job).and_then(|job| job.task(task));
@@ -375,10 +386,10 @@
         }
     }
 
-    /// Returns the short tasks to stop on a worker so that a task of the step fits, the youngest
-    /// first; `None` where that isn't enough.
+    /// Returns the short tasks to evict from a worker so that a task of the step fits, the youngest
+    /// first; `None` if that is not enough.
     pub(super) fn victims(&self, worker: &Worker, step: &Step) -> Option<Vec<TaskId>> {
-        let mut short: Vec<Short> = Vec::new();
+        let mut short: Vec<ShortRun> = Vec::new();
         for task in worker.runs.keys() {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
@@ -389,15 +400,16 @@
             if let Some(run) = run.filter(|run| run.phase == Phase::Working)
                 && !own.long_running
             {
-                short.push(Short { since: run.since, task: *task });
+                short.push(ShortRun { since: run.since, task: *task });
             }
         }
         short.sort_by_key(|short| Reverse((short.since, short.task)));
-        // What is in use is counted and not what is free: a worker that has shrunk may have more in use than it bears.
+        // The used amount is counted and not the free one: a worker whose capacity has shrunk may
+        // use more than its capacity.
         let capacity = worker.info.capacity;
         let mut used = worker.used.plus(step.charge());
         let mut tasks = Vec::new();
-        for Short { task, .. } in short {
+        for ShortRun { task, .. } in short {
             if used.fits(capacity) {
                 break;
             }
@@ -408,14 +420,14 @@
     }
 }
 
-fn has_waiting(job: &Job) -> bool {
+fn has_waiting_tasks(job: &Job) -> bool {
     job.steps.iter().any(|(id, state)| {
         let speculative = job.step(*id).speculative;
-        let waits = |task: &Task| !task.done && (task.runs.is_empty() || speculative);
-        !state.is_done() && state.tasks.iter().any(waits)
+        let is_waiting = |task: &Task| !task.done && (task.runs.is_empty() || speculative);
+        !state.is_done() && state.tasks.iter().any(is_waiting)
     })
 }
 
-fn waits(task: &Task, now: Tick) -> bool {
+fn is_waiting(task: &Task, now: Tick) -> bool {
     !task.done && task.runs.is_empty() && task.not_before <= now
 }
--- a/reachhead_jobs/src/pool/weights.rs
+++ b/reachhead_jobs/src/pool/weights.rs
@@ -1,7 +1,7 @@
-//! Customers' weights in a pool: which jobs come after those of all others.
+//! Customer weights in a pool: jobs beyond a customer's weight are scheduled after all others.
 //!
-//! Load: one customer sends many times what it is owed. In the order by worth alone its jobs stand among all others, which are
-//! late then though their customers sent no more than usual.
+//! When one customer sends many times its share, ordering by value alone would mix its jobs with
+//! those of others, which would then be late although their customers sent no more than usual.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,17 +12,18 @@
 
 use crate::{clock::Tick, pool::Pool};
 
-/// The time in which a customer is owed as many jobs as its weight says.
+/// Window in which a customer is owed as many jobs as its weight.
 const WEIGHT_TIME: Millis = Millis(1000);
 
-/// When the jobs came that were within their customers' weights.
+/// Arrival times of the jobs that were within their customers' weights.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Arrived {
+pub(super) struct CustomerArrivals {
     within: BTreeMap<CustomerName, VecDeque<Tick>>,
 }
 
-impl Arrived {
-    /// Notes a job; tells whether its customer has sent more than its weight within the last second.
+impl CustomerArrivals {
+    /// Records a job's arrival, and returns whether its customer exceeded its weight in the last
+    /// window.
     fn is_beyond(&mut self, customer: &CustomerName, weight: Weight, now: Tick) -> bool {
         let arrived = self.within.entry(customer.clone()).or_default();
         while arrived.front().is_some_and(|at| now.since(*at) >= WEIGHT_TIME) {
@@ -37,14 +38,14 @@
 }
 
 impl Pool {
-    /// Tells whether a job that comes now is more than its customer is owed. Weights count for all pools together; what is
-    /// beyond the whole weight in one of them is so for certain.
+    /// Returns whether a job that arrives now exceeds its customer's weight. Weights apply to all
+    /// pools together, so a job beyond the whole weight in one pool certainly exceeds it.
     pub(super) fn is_beyond_weight(&mut self, customer: Option<&CustomerName>, now: Tick) -> bool {
         let Some(customer) = customer else {
             return false;
         };
         match self.quotas.weight(customer) {
-            Some(weight) => self.arrived.is_beyond(customer, weight, now),
+            Some(weight) => self.customer_arrivals.is_beyond(customer, weight, now),
             None => false,
         }
     }
