--- a/reachhead_jobs/src/pool/mod.rs
+++ b/reachhead_jobs/src/pool/mod.rs
@@ -258,7 +258,7 @@
 
     /// Returns for how long runs of a predecessor may still be active on workers that have not
     /// answered.
-    pub fn open_time(&self, now: Tick) -> Millis {
+    pub fn remaining_takeover_delay(&self, now: Tick) -> Millis {
         let last = self.pending.values().map(|pending| pending.until).max();
         last.map_or(Millis(0), |until| until.since(now))
     }
--- a/reachhead_jobs/tests/pool/recover.rs
+++ b/reachhead_jobs/tests/pool/recover.rs
@@ -235,10 +235,10 @@
     let full_delay = found.effect;
     let mut fixture = Fixture::new(found, vec![info("w", 4)]);
     fixture.poll();
-    assert_eq!(fixture.pool.open_time(fixture.now), full_delay);
+    assert_eq!(fixture.pool.remaining_takeover_delay(fixture.now), full_delay);
     fixture.advance(3000);
     fixture.poll();
-    let open = fixture.pool.open_time(fixture.now);
+    let open = fixture.pool.remaining_takeover_delay(fixture.now);
     assert_eq!(open, Millis(full_delay.0 - 3000));
     let record = |settled, open| LeaseRecord { owner: None, address: None, term: 1, settled, open };
     assert_eq!(timeouts().after_release(&record(false, Some(open))), open);
@@ -256,5 +256,5 @@
     );
     fixture.advance(full_delay.0);
     fixture.poll();
-    assert_eq!(fixture.pool.open_time(fixture.now), Millis(0));
+    assert_eq!(fixture.pool.remaining_takeover_delay(fixture.now), Millis(0));
 }
--- a/reachhead_node/src/owner/mod.rs
+++ b/reachhead_node/src/owner/mod.rs
@@ -430,7 +430,7 @@
             address: None,
             term: self.term,
             settled: self.pool.unsettled() == 0,
-            open: Some(self.pool.open_time(self.node.now())),
+            open: Some(self.pool.remaining_takeover_delay(self.node.now())),
         };
         let txn = Txn::new()
             .with_check(lease_key(&name), Some(self.handle.token))
