--- a/reachhead_jobs/src/pool/crash.rs
+++ b/reachhead_jobs/src/pool/crash.rs
@@ -58,7 +58,7 @@
         if !worker.runs.is_empty() {
             self.log_crash(&worker, now);
         }
-        let involved = self.crash_suspects(&worker);
+        let suspects = self.crash_suspects(&worker);
         for (task, charge) in &worker.runs {
             self.remove_run(id, *task, charge.run);
         }
@@ -67,8 +67,8 @@
         // because of their tasks.
         let planned = worker.info.draining || worker.cordoned > now;
         if end != DeathEvidence::OffList && !planned {
-            for involved in involved.into_iter().chain(worker.lapsed) {
-                self.count_crash(involved);
+            for suspect in suspects.into_iter().chain(worker.lapsed) {
+                self.count_crash(suspect);
             }
         }
     }
--- a/reachhead_jobs/src/pool/drain_worker.rs
+++ b/reachhead_jobs/src/pool/drain_worker.rs
@@ -51,11 +51,11 @@
         // Until all workers have answered, a new owner does not know where tasks run, and runs that
         // its predecessor stops may still be reported as active. A worker that has reported no runs
         // may be released all the same.
-        let quiet = self.predecessor_stops_end().is_some_and(|since| since <= now);
-        let settled = quiet && self.workers_listed && self.pending.is_empty();
+        let stops_done = self.predecessor_stops_end().is_some_and(|since| since <= now);
+        let settled = stops_done && self.workers_listed && self.pending.is_empty();
         let until = now + CORDON_DURATION;
         if self.workers.contains_key(id) && self.is_needed(id, now) {
-            // Requests one extra host, and keeps this worker for tasks that must be running.
+            // Requests one extra host, and keeps this worker for its long-running tasks.
             self.surge_until = now + SURGE_DURATION;
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.cordoned = Tick(0);
@@ -108,7 +108,7 @@
 
     /// Returns when every stop that a predecessor ordered has completed.
     fn predecessor_stops_end(&self) -> Option<Tick> {
-        self.settled_at.map(|at| at + Millis(self.timeouts.stop.0 + STOP_SLACK.0))
+        self.all_answered_at.map(|at| at + Millis(self.timeouts.stop.0 + STOP_SLACK.0))
     }
 
     /// Returns whether a worker can't be drained now: no other worker takes tasks, or long-running
@@ -162,16 +162,16 @@
     fn can_disrupt(&self, task: TaskId) -> bool {
         let job = &self.jobs[&task.job];
         let step = &job.plan.steps[task.step as usize];
-        let quiet = self.predecessor_stops_end();
+        let stops_end = self.predecessor_stops_end();
         // An earlier report may show a run that the predecessor has stopped meanwhile.
-        let certain = |run: &Run| {
+        let is_confirmed = |run: &Run| {
             let worker = self.workers.get(&run.worker).filter(|worker| !worker.silent);
             let sample = worker.and_then(|worker| worker.sample);
-            let since = quiet.filter(|_| run.adopted).unwrap_or_default();
+            let since = stops_end.filter(|_| run.adopted).unwrap_or_default();
             sample.is_some_and(|sample| sample.at >= since)
         };
-        let away = job.steps[&task.step_id()].others_away(task.index, certain);
-        step.may_miss == 0 || away < step.may_miss
+        let unavailable = job.steps[&task.step_id()].others_away(task.index, is_confirmed);
+        step.may_miss == 0 || unavailable < step.may_miss
     }
 }
 
--- a/reachhead_jobs/src/pool/load.rs
+++ b/reachhead_jobs/src/pool/load.rs
@@ -119,12 +119,13 @@
 
 /// Takes a task's cores from its customer's headroom, and returns whether there were enough.
 fn take_headroom(headrooms: &mut BTreeMap<CustomerName, u64>, job: &Job, cores: u64) -> bool {
-    let Some(room) = job.customer.as_ref().and_then(|customer| headrooms.get_mut(customer)) else {
+    let Some(headroom) = job.customer.as_ref().and_then(|customer| headrooms.get_mut(customer))
+    else {
         return true;
     };
-    let enough = *room >= cores;
+    let enough = *headroom >= cores;
     if enough {
-        *room -= cores;
+        *headroom -= cores;
     }
     enough
 }
--- a/reachhead_jobs/src/pool/mod.rs
+++ b/reachhead_jobs/src/pool/mod.rs
@@ -137,7 +137,7 @@
     /// Until when one extra host is requested, because a task that has to move found no place.
     surge_until: Tick,
     /// When the last of the predecessor's workers answered or expired.
-    settled_at: Option<Tick>,
+    all_answered_at: Option<Tick>,
     roster: roster::RosterState,
     dirty: BTreeSet<JobId>,
     refusals: refusal::Refusals,
@@ -206,7 +206,7 @@
             drained: drain::DrainedZones::default(),
             cordons: BTreeMap::new(),
             surge_until: Tick(0),
-            settled_at: None,
+            all_answered_at: None,
             roster: roster::RosterState::new(found.roster),
             dirty: BTreeSet::new(),
             refusals: refusal::Refusals::default(),
@@ -241,7 +241,7 @@
         self.token
     }
 
-    /// Returns the jobs that have not ended, or whose end is not recorded.
+    /// Returns the open jobs, including ended ones whose final record or last run is pending.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
@@ -378,7 +378,7 @@
     fn expire(&mut self, now: Tick) {
         self.pending.retain(|_, pending| pending.until > now);
         if self.pending.is_empty() {
-            self.settled_at.get_or_insert(now);
+            self.all_answered_at.get_or_insert(now);
         }
         self.cordons.retain(|_, until| *until > now);
         self.expire_unclaimed_ends(now);
--- a/reachhead_jobs/src/pool/pace.rs
+++ b/reachhead_jobs/src/pool/pace.rs
@@ -33,8 +33,8 @@
     /// Returns whether a worker runs both best-effort and latency-sensitive tasks.
     pub(super) fn has_contention(&self, worker: &Worker) -> bool {
         let neighbours = self.neighbours(worker);
-        neighbours.iter().any(|one| one.best_effort)
-            && neighbours.iter().any(|one| one.tail.is_some())
+        neighbours.iter().any(|neighbour| neighbour.best_effort)
+            && neighbours.iter().any(|neighbour| neighbour.tail.is_some())
     }
 
     fn neighbours(&self, worker: &Worker) -> Vec<Neighbour> {
@@ -70,12 +70,13 @@
             }
             checked.push(worker.info.id.clone());
             let neighbours = self.neighbours(worker);
-            let worst = neighbours.iter().filter_map(|one| one.tail).fold(0.0, f64::max);
-            for one in neighbours.iter().filter(|one| one.best_effort) {
-                let pace = next_pace(one.run.pace, worst);
-                if pace != one.run.pace {
-                    let number = one.run.number;
-                    changes.push(Action::Pace(self.target(worker), one.task, number, pace));
+            let worst =
+                neighbours.iter().filter_map(|neighbour| neighbour.tail).fold(0.0, f64::max);
+            for neighbour in neighbours.iter().filter(|neighbour| neighbour.best_effort) {
+                let pace = next_pace(neighbour.run.pace, worst);
+                if pace != neighbour.run.pace {
+                    let number = neighbour.run.number;
+                    changes.push(Action::Pace(self.target(worker), neighbour.task, number, pace));
                 }
             }
         }
--- a/reachhead_jobs/src/pool/polls.rs
+++ b/reachhead_jobs/src/pool/polls.rs
@@ -37,7 +37,7 @@
 impl Pool {
     /// Sends the long polls that are due.
     pub(super) fn send_polls(&mut self, now: Tick) {
-        let trusted = self.can_order(now);
+        let can_order = self.can_order(now);
         let hold = self.timeouts.hold;
         let mut actions = Vec::new();
         for worker in self.workers.values() {
@@ -49,7 +49,7 @@
             }
             let deadline = worker
                 .sample
-                .filter(|_| trusted && !worker.silent)
+                .filter(|_| can_order && !worker.silent)
                 .map(|sample| WorkerTime(sample.estimate(now).0 + hold.0));
             // A restarted worker must not drop ends that reuse the numbers of earlier ones.
             let seen = if worker.silent { 0 } else { worker.seen };
@@ -99,12 +99,12 @@
         let mut gone: Vec<WorkerId> = Vec::new();
         let mut expired: Vec<WorkerId> = Vec::new();
         for worker in self.workers.values().filter(|worker| worker.silent) {
-            let past = match worker.lapses() {
+            let expired_now = match worker.lapses() {
                 Some(lapse) => lapse <= now,
                 None => !self.pending.contains_key(&worker.info.id),
             };
-            let inherited = self.pending.contains_key(&worker.info.id);
-            if past && !inherited {
+            let is_pending = self.pending.contains_key(&worker.info.id);
+            if expired_now && !is_pending {
                 if !worker.runs.is_empty() {
                     expired.push(worker.info.id.clone());
                 } else if !worker.listed {
@@ -152,11 +152,10 @@
                         };
                         // A task that was stuck on several workers is not their fault, and moving
                         // it again does not help.
-                        let left_alone = task.stills >= MAX_STUCK_STOPS;
+                        let is_exempt = task.stills >= MAX_STUCK_STOPS;
                         let decided =
                             self.decide_run(job, step, run, unwanted, now).filter(|action| {
-                                !(left_alone
-                                    && matches!(action, RunAction::Stop(StopReason::Still)))
+                                !(is_exempt && matches!(action, RunAction::Stop(StopReason::Still)))
                             });
                         if let Some(action) = decided {
                             decisions.push(Decision {
@@ -201,10 +200,10 @@
             }
             Phase::Ordered => {
                 let worker = self.workers.get(&run.worker)?;
-                let past =
+                let expired_now =
                     worker.sample.is_some_and(|sample| sample.surely_past(run.deadline) <= now);
                 // It can't start after its deadline, but it may have started before.
-                Some(if past { RunAction::Settle } else { RunAction::ResendStart })
+                Some(if expired_now { RunAction::Settle } else { RunAction::ResendStart })
             }
             Phase::Working if job.recorded => Some(RunAction::Stop(StopReason::Unneeded)),
             Phase::Working if unwanted.is_some() => unwanted.map(RunAction::Stop),
@@ -224,10 +223,10 @@
         if step.long_running && run.percent >= 100 {
             return false;
         }
-        let whole = self.estimator.predict(&job.queue.name, step);
-        let limit = (whole.0 * STUCK_FACTOR / 100).max(MIN_STUCK_TIME.0);
-        let heard = self.workers.get(&run.worker).is_some_and(|worker| !worker.silent);
-        heard && now.since(run.moved) > Millis(limit)
+        let predicted = self.estimator.predict(&job.queue.name, step);
+        let limit = (predicted.0 * STUCK_FACTOR / 100).max(MIN_STUCK_TIME.0);
+        let is_reachable = self.workers.get(&run.worker).is_some_and(|worker| !worker.silent);
+        is_reachable && now.since(run.moved) > Millis(limit)
     }
 
     fn apply_decision(&mut self, decision: &Decision, now: Tick) {
--- a/reachhead_jobs/src/pool/quota.rs
+++ b/reachhead_jobs/src/pool/quota.rs
@@ -123,9 +123,9 @@
             }
             self.quotas.logged_at.insert(customer.clone(), now);
             let used = self.quotas.used.get(customer).copied().unwrap_or_default();
-            let room = self.quotas.limits.headroom(customer, used);
+            let headroom = self.quotas.limits.headroom(customer, used);
             lines.push(format!(
-                "customer={customer} tasks={} cores={} used={} left={room}",
+                "customer={customer} tasks={} cores={} used={} left={headroom}",
                 held.tasks, held.wanted.cores, used.cores
             ));
         }
@@ -142,11 +142,11 @@
         }
         let used = self.count_used();
         let customers = self.jobs.values().filter_map(|job| job.customer.as_ref());
-        let room = |customer: &CustomerName| {
+        let headroom = |customer: &CustomerName| {
             let used = used.get(customer).copied().unwrap_or_default();
             self.quotas.limits.headroom(customer, used)
         };
-        customers.map(|customer| (customer.clone(), room(customer))).collect()
+        customers.map(|customer| (customer.clone(), headroom(customer))).collect()
     }
 
     /// Returns whether more hosts would help the customer's next job, as of the last round.
--- a/reachhead_jobs/src/pool/refusal.rs
+++ b/reachhead_jobs/src/pool/refusal.rs
@@ -30,14 +30,14 @@
     until: Tick,
     pause: Millis,
     /// The pause is not over yet.
-    waits: bool,
+    is_waiting: bool,
 }
 
 /// Rejected rows, and the resulting limits on transactions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Refusals {
     /// Maximum number of jobs or workers in a lane's next transaction.
-    sizes: BTreeMap<Lane, usize>,
+    batch_limits: BTreeMap<Lane, usize>,
     jobs: BTreeMap<JobId, HeldJob>,
     /// Workers whose rows were rejected, and when. No task is started on them.
     workers: BTreeMap<WorkerId, Tick>,
@@ -46,12 +46,12 @@
 impl Refusals {
     /// Returns the most jobs or workers that the next transaction of a lane may contain.
     pub(super) fn max_items(&self, lane: Lane) -> usize {
-        self.sizes.get(&lane).copied().unwrap_or(UNLIMITED)
+        self.batch_limits.get(&lane).copied().unwrap_or(UNLIMITED)
     }
 
     /// Returns whether a job's progress row is held back now.
     pub(super) fn holds_job(&self, id: JobId) -> bool {
-        self.jobs.get(&id).is_some_and(|held| held.waits)
+        self.jobs.get(&id).is_some_and(|held| held.is_waiting)
     }
 
     /// Returns whether a worker's row is held back.
@@ -61,7 +61,7 @@
 
     /// Doubles the batch size of a lane after an accepted transaction.
     pub(super) fn batch_accepted(&mut self, lane: Lane) {
-        if let Some(size) = self.sizes.get_mut(&lane) {
+        if let Some(size) = self.batch_limits.get_mut(&lane) {
             *size = size.saturating_mul(2);
         }
     }
@@ -70,7 +70,7 @@
     pub(super) fn expire(&mut self, now: Tick, is_known: impl Fn(JobId) -> bool) {
         self.jobs.retain(|id, _| is_known(*id));
         for held in self.jobs.values_mut() {
-            held.waits = held.until > now;
+            held.is_waiting = held.until > now;
         }
         self.workers.retain(|_, since| now.since(*since) < MAX_RETRY_PAUSE);
     }
@@ -78,7 +78,7 @@
     fn hold_job(&mut self, id: JobId, now: Tick) -> Millis {
         let pause = self.jobs.get(&id).map_or(MIN_RETRY_PAUSE, |held| Millis(2 * held.pause.0));
         let pause = pause.min(MAX_RETRY_PAUSE);
-        self.jobs.insert(id, HeldJob { until: now + pause, pause, waits: true });
+        self.jobs.insert(id, HeldJob { until: now + pause, pause, is_waiting: true });
         pause
     }
 }
@@ -89,7 +89,7 @@
     pub fn rejected(&mut self, batch: &Batch, now: Tick) {
         let workers = batch.roster.as_ref().map(|update| update.workers()).unwrap_or_default();
         let count = batch.jobs.len() + workers.len();
-        self.refusals.sizes.insert(batch.lane, (count / 2).max(1));
+        self.refusals.batch_limits.insert(batch.lane, (count / 2).max(1));
         if count > 1 {
             return;
         }
--- a/reachhead_jobs/src/pool/restarted_worker.rs
+++ b/reachhead_jobs/src/pool/restarted_worker.rs
@@ -19,10 +19,10 @@
 /// process that had not noticed the restart.
 const YOUNG_INCARNATION_AGE: Millis = Millis(20_000);
 
-/// Returns whether the incarnation started at `life` is newer than the one started at `known`.
+/// Returns whether the incarnation started at `started` is newer than the one started at `known`.
 /// Unknown start times count as the same incarnation.
-pub(super) fn is_newer(life: Option<Millis>, known: Option<Millis>) -> bool {
-    matches!((life, known), (Some(life), Some(known)) if life > known)
+pub(super) fn is_newer(started: Option<Millis>, known: Option<Millis>) -> bool {
+    matches!((started, known), (Some(started), Some(known)) if started > known)
 }
 
 impl Pool {
@@ -34,8 +34,8 @@
             return;
         };
         let known = worker.born;
-        let mut involved = self.crash_suspects(worker);
-        involved.extend(worker.lapsed.iter().copied());
+        let mut suspects = self.crash_suspects(worker);
+        suspects.extend(worker.lapsed.iter().copied());
         let worker = worker.clone();
         if !worker.runs.is_empty() {
             self.log_crash(&worker, now);
@@ -70,8 +70,8 @@
             ),
         );
         if !planned {
-            for involved in involved {
-                self.count_crash(involved);
+            for suspect in suspects {
+                self.count_crash(suspect);
             }
         }
     }
--- a/reachhead_jobs/src/pool/roster.rs
+++ b/reachhead_jobs/src/pool/roster.rs
@@ -196,8 +196,8 @@
             }
         }
         for (id, known) in &stored.workers {
-            let unread = self.pending.contains_key(id);
-            if !kept.contains(id) && !unread && known.revision.is_some() {
+            let is_pending = self.pending.contains_key(id);
+            if !kept.contains(id) && !is_pending && known.revision.is_some() {
                 changes.push(Change { worker: id.clone(), entry: None });
             }
         }
@@ -211,12 +211,12 @@
         known: Option<&StoredWorker>,
         now: Tick,
     ) -> RosterEntry {
-        let quiet = worker.silent && now.since(worker.silent_since) >= CLOSE_DELAY;
+        let is_unreachable = worker.silent && now.since(worker.silent_since) >= CLOSE_DELAY;
         let closed = known.and_then(|known| known.entry.as_ref()).and_then(|entry| entry.closed);
         let closed = match closed {
             // A closed worker stays closed until it answers.
             Some(closed) if worker.silent || !worker.answered => Some(closed),
-            _ if quiet && worker.answered => Some(self.newest_row()),
+            _ if is_unreachable && worker.answered => Some(self.newest_row()),
             _ => None,
         };
         RosterEntry { worker: worker.info.id.clone(), address: worker.info.address, closed }
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -28,7 +28,7 @@
 const RESERVATION_DURATION: Millis = Millis(1500);
 
 /// Steps without a place after which a scheduling round ends.
-const MAX_FAILED_STEPS: usize = 24;
+const MAX_UNPLACED_STEPS: usize = 24;
 
 /// A job and its rank in the scheduling order.
 pub(super) struct Ranked {
@@ -61,16 +61,16 @@
             .collect();
         ranked.sort_by(|a, b| a.rank.order(b.rank).then(a.id.cmp(&b.id)));
         let ranked = self.cap_expiring(ranked, now);
-        let mut failed = 0;
+        let mut unplaced = 0;
         let mut free = self.largest_free(now);
         for job in ranked {
             let steps: Vec<StepId> = self.jobs[&job.id].steps.keys().copied().collect();
             for step in steps {
                 if !self.place_step(step, job.rank.class, &mut free, now) {
-                    failed += 1;
+                    unplaced += 1;
                 }
             }
-            if failed > MAX_FAILED_STEPS {
+            if unplaced > MAX_UNPLACED_STEPS {
                 break;
             }
         }
@@ -117,12 +117,12 @@
         if step.gang {
             return self.place_gang(id, &step, allowed.as_ref(), now);
         }
-        let rest = waiting.len();
+        let remaining = waiting.len();
         let mut started = Vec::new();
         for index in waiting {
             let possible = step.charge().fits(*free);
             if possible && !self.within_quota(id.job, step.need) {
-                self.hold_back(id.job, step.need, (rest - started.len()) as u32);
+                self.hold_back(id.job, step.need, (remaining - started.len()) as u32);
                 break;
             }
             let placed = possible.then(|| self.find(id.task(index), &step, allowed.as_ref(), now));
@@ -137,14 +137,14 @@
                 if class == Class::LongRunning {
                     self.preempt_short_tasks(id, &step, now);
                 }
-                self.log_placed(id, class, &started, rest);
+                self.log_placed(id, class, &started, remaining);
                 return false;
             };
             let number = self.next_run(id, index);
             started.push(format!("{index}@{worker}"));
             self.start_run(id.task(index), &step, worker, number, now);
         }
-        self.log_placed(id, class, &started, rest);
+        self.log_placed(id, class, &started, remaining);
         true
     }
 
