--- a/reachhead_jobs/src/pool/expiring.rs
+++ b/reachhead_jobs/src/pool/expiring.rs
@@ -1,5 +1,5 @@
-//! Ordering of expiring jobs in a scheduling round: first, within their share of the pool's
-//! capacity.
+//! Ordering of expiring jobs in a scheduling round: they come first within their share of the
+//! pool's capacity, and after jobs that can be in time beyond it.
 
 use reachhead_types::id::JobId;
 
--- a/reachhead_jobs/src/pool/flush.rs
+++ b/reachhead_jobs/src/pool/flush.rs
@@ -93,8 +93,8 @@
         has_ended || !self.refusals.holds_job(id)
     }
 
-    /// Returns the next transaction of a lane, if there are pending writes. Every transaction is
-    /// fenced by the lease.
+    /// Returns the next transaction of a lane, if there are pending writes. It is fenced by the
+    /// lease row or the shard's fence.
     pub fn batch(&mut self, lane: Lane, wall: Millis) -> Option<Batch> {
         match lane {
             Lane::Roster => self.roster_batch(),
--- a/reachhead_jobs/src/pool/polls.rs
+++ b/reachhead_jobs/src/pool/polls.rs
@@ -23,7 +23,7 @@
 const MAX_STUCK_STOPS: u32 = 3;
 
 /// Poll wait at a worker where best-effort tasks run beside latency-sensitive tasks. Interference
-/// has to be noticed and slowed down well within the few seconds for which a target may be missed.
+/// has to be noticed and reduced well within the few seconds for which a target may be missed.
 const BEST_EFFORT_POLL_WAIT: Millis = Millis(400);
 
 /// Poll wait at a worker with short tasks. Such a worker answers several times a second, at each
--- a/reachhead_jobs/src/pool/roster.rs
+++ b/reachhead_jobs/src/pool/roster.rs
@@ -25,8 +25,8 @@
 /// longer.
 const ROSTER_CHECK_PERIOD: Millis = Millis(40);
 
-/// Maximum number of workers in a transaction: each takes a check and a write of the hundred entries that the
-/// platform's contract permits.
+/// Maximum number of workers in a transaction: each takes a check and a write of the hundred
+/// entries that the platform's contract permits.
 const MAX_CHANGES: usize = 48;
 
 /// A worker of the roster as stored.
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -27,7 +27,7 @@
 /// How long capacity is reserved for a long-running task while short tasks are stopped there.
 const RESERVATION_DURATION: Millis = Millis(1500);
 
-/// Steps without a place after which a scheduling round ends.
+/// Number of steps without a place after which a scheduling round ends.
 const MAX_UNPLACED_STEPS: usize = 24;
 
 /// A job and its rank in the scheduling order.
@@ -353,8 +353,8 @@
         self.actions.push(Action::Start(target, order));
     }
 
-    /// Makes room for a long-running task by evicting short tasks, on the worker where the fewest have
-    /// to stop.
+    /// Frees capacity for a long-running task by evicting short tasks, on the worker where the
+    /// fewest have to stop.
     fn preempt_short_tasks(&mut self, id: StepId, step: &Step, now: Tick) {
         let reserved = |worker: &Worker| {
             worker.reserved.is_some_and(|kept| kept.until > now && kept.step == id)
