--- a/reachhead_path/tests/fair.rs
+++ b/reachhead_path/tests/fair.rs
@@ -74,7 +74,7 @@
                 naive.push(request.group.clone(), request.class, number);
                 queue.push(&request, Item { number, is_wanted: true }, 1, now) == Ok(())
             }
-            None => queue.pop(now).next.map(|turn| turn.item.number) == naive.pop(),
+            None => queue.pop(now).next.map(|dequeued| dequeued.item.number) == naive.pop(),
         })
     }
 
@@ -93,11 +93,11 @@
                         expected.push(number);
                     }
                 }
-                None => popped.extend(queue.pop(now).next.map(|turn| turn.item.number)),
+                None => popped.extend(queue.pop(now).next.map(|dequeued| dequeued.item.number)),
             }
         }
-        while let Some(turn) = queue.pop(now).next {
-            popped.push(turn.item.number);
+        while let Some(dequeued) = queue.pop(now).next {
+            popped.push(dequeued.item.number);
         }
         popped.sort_unstable();
         popped == expected && queue.is_empty()
@@ -115,7 +115,7 @@
             queue.set_group(&group(number as u8), Weight(*weight), usize::MAX);
         }
         let mut served = [0; 3];
-        for turn in 0..6000 {
+        for iteration in 0..6000 {
             for owner in 0..3 {
                 while queue.group_len(&group(owner)) < 2 {
                     let item = Item { number: owner as usize, is_wanted: true };
@@ -125,7 +125,7 @@
             let next = queue.pop(now).next.unwrap();
             let owner = next.item.number;
             queue.settle(&next.charge, Duration::from_millis(costs[owner]));
-            if turn >= 1000 {
+            if iteration >= 1000 {
                 served[owner] += costs[owner];
             }
         }
@@ -149,7 +149,7 @@
         queue.push(&request(owner, class, deadline), item, 1, now).unwrap();
     }
     let order: Vec<usize> =
-        std::iter::from_fn(|| queue.pop(now).next.map(|turn| turn.item.number)).collect();
+        std::iter::from_fn(|| queue.pop(now).next.map(|dequeued| dequeued.item.number)).collect();
     assert_eq!(order, [1, 2, 3, 0]);
 }
 
--- a/reachhead_plan/src/planner.rs
+++ b/reachhead_plan/src/planner.rs
@@ -194,8 +194,8 @@
             if self.plan.pending_reasons.contains_key(name) {
                 continue;
             }
-            let demands = demands.entry(&job.group).or_default();
-            *demands = demands.plus(job.size.times(job.tasks));
+            let demand = demands.entry(&job.group).or_default();
+            *demand = demand.plus(job.size.times(job.tasks));
         }
         let fraction = |(group, amount): (&&GroupName, &Amount)| {
             ((*group).clone(), amount.dominant_share(self.capacity))
--- a/reachhead_plan/tests/planner.rs
+++ b/reachhead_plan/tests/planner.rs
@@ -168,14 +168,14 @@
     }
 
     fn fair_shares(&self) -> Shares {
-        let mut asked: BTreeMap<GroupName, Amount> = BTreeMap::new();
+        let mut demands: BTreeMap<GroupName, Amount> = BTreeMap::new();
         for job in self.pool.jobs.values().filter(|job| self.can_ever_run(job)) {
-            let asked = asked.entry(job.group.clone()).or_default();
-            (0..job.tasks).for_each(|_| *asked = asked.plus(job.size));
+            let demand = demands.entry(job.group.clone()).or_default();
+            (0..job.tasks).for_each(|_| *demand = demand.plus(job.size));
         }
         let capacity = self.capacity();
         let demands =
-            asked.into_iter().map(|(group, asked)| (group, asked.dominant_share(capacity)));
+            demands.into_iter().map(|(group, demand)| (group, demand.dominant_share(capacity)));
         fair_shares(&tree(), &demands.collect(), 1.0)
     }
 
--- a/reachhead_plan/tests/share.rs
+++ b/reachhead_plan/tests/share.rs
@@ -16,27 +16,28 @@
 /// Number of steps in which the naive implementation assigns a pool.
 const STEPS: usize = 4000;
 
-type Drawn = (u8, u8, u8);
+/// Parent, weight and demand of a group, drawn at random.
+type GroupSpec = (u8, u8, u8);
 
 fn name(number: usize) -> GroupName {
     format!("g{number}").parse().unwrap()
 }
 
-fn tree(drawn: &[Drawn]) -> Tree {
-    let row = |(number, &(parent, weight, _)): (usize, &Drawn)| {
+fn tree(specs: &[GroupSpec]) -> Tree {
+    let row = |(number, &(parent, weight, _)): (usize, &GroupSpec)| {
         let parent = (number > 0 && parent % 4 > 0).then(|| name(usize::from(parent) % number));
         let settings =
             Overrides { weight: Some(Weight(u32::from(weight) % 4 + 1)), ..Overrides::default() };
         (name(number), GroupRow { parent, settings })
     };
-    Tree::new(drawn.iter().enumerate().map(row).collect()).unwrap()
+    Tree::new(specs.iter().enumerate().map(row).collect()).unwrap()
 }
 
-fn demands(drawn: &[Drawn]) -> Shares {
-    let demand = |(number, &(_, _, demand)): (usize, &Drawn)| {
+fn demands(specs: &[GroupSpec]) -> Shares {
+    let demand = |(number, &(_, _, demand)): (usize, &GroupSpec)| {
         (demand % 3 > 0).then(|| (name(number), f64::from(demand) / 300.0))
     };
-    drawn.iter().enumerate().filter_map(demand).collect()
+    specs.iter().enumerate().filter_map(demand).collect()
 }
 
 /// Assigns each step to the group found by descending to the child with the lowest share per
@@ -103,9 +104,9 @@
 }
 
 properties! {
-    fn shares_are_those_of_the_naive_filler(drawn: Vec<(u8, u8, u8)>) -> bool {
-        let drawn = &drawn[..drawn.len().min(7)];
-        let (tree, demands) = (tree(drawn), demands(drawn));
+    fn shares_are_those_of_the_naive_filler(specs: Vec<(u8, u8, u8)>) -> bool {
+        let specs = &specs[..specs.len().min(7)];
+        let (tree, demands) = (tree(specs), demands(specs));
         let exact = fair_shares(&tree, &demands, 1.0);
         let naive = naive(&tree, &demands, 1.0);
         // The result may be off by one step at each level of the tree.
@@ -114,14 +115,14 @@
         demands.keys().all(|group| (of(&exact, group) - of(&naive, group)).abs() < tolerance)
     }
 
-    fn nobody_gets_more_than_it_asks_and_nothing_asked_for_is_left(drawn: Vec<(u8, u8, u8)>) -> bool {
-        let drawn = &drawn[..drawn.len().min(30)];
-        let (tree, demands) = (tree(drawn), demands(drawn));
+    fn nobody_gets_more_than_it_asks_and_nothing_asked_for_is_left(specs: Vec<(u8, u8, u8)>) -> bool {
+        let specs = &specs[..specs.len().min(30)];
+        let (tree, demands) = (tree(specs), demands(specs));
         let shares = fair_shares(&tree, &demands, 1.0);
         let given: f64 = shares.values().sum();
-        let asked: f64 = demands.values().sum();
+        let demanded: f64 = demands.values().sum();
         shares.iter().all(|(group, part)| *part <= demands[group] + 1e-9)
-            && (given - asked.min(1.0)).abs() < 1e-9
+            && (given - demanded.min(1.0)).abs() < 1e-9
     }
 
     fn splitting_a_group_into_many_gains_it_nothing(parts: u8, weight: u8) -> bool {
--- a/reachhead_pool/src/host.rs
+++ b/reachhead_pool/src/host.rs
@@ -60,8 +60,7 @@
     };
     let own_drain = status.own_drain().cloned();
     match row.phase {
-        // A drain of a host that serves was requested by a previous owner whose request arrived
-        // late.
+        // A host in service is under a drain only if the request of a previous owner arrived late.
         HostPhase::Serving => own_drain.map_or_else(|| start_step(row, wave), HostStep::Undrain),
         HostPhase::Draining if should_cancel_drain(row, wave, observed) => {
             update_row(HostRow { phase: HostPhase::Arriving, wave: None, ..row.clone() })
--- a/reachhead_pool/tests/moves/cluster.rs
+++ b/reachhead_pool/tests/moves/cluster.rs
@@ -45,7 +45,7 @@
     hosts: Vec<EntryHost>,
     last_incarnation: u64,
     /// The pool that each host was last requested to be in.
-    wanted: BTreeMap<HostId, PoolName>,
+    requested_pools: BTreeMap<HostId, PoolName>,
 }
 
 impl Cluster {
@@ -55,14 +55,15 @@
             let key = keys::config(&RowKey::Pool(pool(number)));
             platform.write(key, json!({}));
         }
-        let mut wanted = BTreeMap::new();
+        let mut requested_pools = BTreeMap::new();
         for number in 0..HOSTS {
             let (zone, rack) = ("z".parse().unwrap(), "r".parse().unwrap());
             let row = HostRow::new(zone, rack, Resources::default(), pool(number));
             block_on(hosts::add(&*platform, &host_id(number), &row)).unwrap();
-            wanted.insert(host_id(number), pool(number));
+            requested_pools.insert(host_id(number), pool(number));
         }
-        let mut cluster = Self { platform, hosts: Vec::new(), last_incarnation: 0, wanted };
+        let mut cluster =
+            Self { platform, hosts: Vec::new(), last_incarnation: 0, requested_pools };
         for number in 0..CONTROLLERS {
             let started = cluster.start(number);
             cluster.hosts.push(started);
@@ -137,7 +138,7 @@
 
     fn request_move(&mut self, host: HostId, to: PoolName) {
         match block_on(hosts::want(&*self.platform, &host, Some(&to))) {
-            Ok(_) => drop(self.wanted.insert(host, to)),
+            Ok(_) => drop(self.requested_pools.insert(host, to)),
             Err(HostError::Raced) => {}
             Err(error) => panic!("{error}"),
         }
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Stops all faults, runs rounds, and returns whether everything has settled as operators
-    /// wanted.
+    /// Stops all faults, runs rounds, and returns whether every host is in service in the requested
+    /// pool, all waves are complete and no budget is held.
     pub fn settle(&mut self) -> bool {
         for number in 0..=255 {
             self.platform.deliver_delayed(number);
@@ -197,18 +198,18 @@
                 self.round(number, Fault::None);
             }
         }
-        let is_spent = self.platform.budgets().values().any(|budget| !budget.held.is_empty());
+        let is_budget_held = self.platform.budgets().values().any(|budget| !budget.held.is_empty());
         let is_settled = |(id, row): (HostId, HostRow)| {
             let wave = block_on(waves::of_pool(&*self.platform, &row.pool)).unwrap();
             let is_due = wave.is_some_and(|wave| host::is_due(&row, &wave));
             let status = self.platform.status_of(&id);
             row.phase == HostPhase::Serving
-                && row.pool == self.wanted[&id]
+                && row.pool == self.requested_pools[&id]
                 && row.want.is_none()
                 && row.wave.is_none()
                 && !is_due
                 && !status.is_drained()
         };
-        !is_spent && self.platform.host_rows().into_iter().all(is_settled)
+        !is_budget_held && self.platform.host_rows().into_iter().all(is_settled)
     }
 }
--- a/reachhead_pool/tests/moves/main.rs
+++ b/reachhead_pool/tests/moves/main.rs
@@ -120,7 +120,7 @@
         let gone = usize::from(gone % count);
         candidates[gone].is_silent = true;
         let after = owners(&candidates);
-        // Only pools of the host that is gone get another owner.
+        // Only the pools of the failed host change owners.
         let is_kept = |(old, new): (&MemberId, &MemberId)| *old == candidates[gone].id || old == new;
         is_naive && before.iter().zip(&after).all(is_kept)
     }
