--- a/reachhead_jobs/tests/pool/wave.rs
+++ b/reachhead_jobs/tests/pool/wave.rs
@@ -30,7 +30,7 @@
         name: "1".parse().unwrap(),
         hosts: machines.keys().cloned().collect(),
         within: Millis(20_000),
-        max_down: max_down,
+        max_down,
     };
     Wave::new(order, WaveRecord::default(), Tick(0))
 }
