--- a/reachhead_jobs/src/balance/mod.rs
+++ b/reachhead_jobs/src/balance/mod.rs
@@ -1,7 +1,8 @@
-//! Which hosts change their pool, so that room is where the work is and unused hosts cost nothing.
+//! Balances hosts between pools, so that capacity follows demand and unused hosts are switched off.
 //!
-//! A host that moves is away for a while and everything on it ends, so only empty ones move. Demand
-//! comes in bursts of some seconds, so a host is also worth moving that is needed only for a few.
+//! A host that moves is unavailable for a while and everything on it ends, so only empty hosts
+//! move. Demand comes in bursts of some seconds, so a move pays off even if the host is needed only
+//! for a few seconds.
 
 mod scale_down;
 
@@ -21,89 +22,91 @@
     ports::{PlatformHost, PlatformHostState},
 };
 
-/// Room beyond the need, in percent: sizes of jobs vary, and tasks don't fill a host exactly.
+/// Capacity beyond the need, in percent: sizes of jobs vary, and tasks don't fill a host exactly.
 const MARGIN_PERCENT: u64 = 15;
 
-/// Hosts that each pool with queues keeps at least, so that its first jobs start at once.
-const LEAST_HOSTS: usize = 3;
+/// Minimum number of hosts of each pool with queues, so that its first jobs start at once.
+const MIN_HOSTS: usize = 3;
 
-/// How long a host stays in its pool after it came, so that none goes to and fro.
-const STAY_TIME: Millis = Millis(1500);
+/// Minimum stay of a host in its pool after a move, against flapping.
+const MIN_STAY: Millis = Millis(1500);
 
-/// A pool as it is looked at.
+/// State of a pool as input of a round.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolState {
-    /// Its load, as its owner told it.
+    /// Load as reported by the pool's owner.
     pub load: PoolLoad,
-    /// Its hosts are off and cost nothing.
+    /// Spare pool: its hosts are switched off and cost nothing.
     pub spare: bool,
 }
 
-/// A host that should change its pool.
+/// A move of a host to another pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
-    /// The host.
+    /// Host that moves.
     pub host: HostId,
-    /// The life of its worker, which has to be empty; `None` for a host that is off.
+    /// Worker that has to be empty, by its incarnation; `None` for a host that is switched off.
     pub worker: Option<WorkerId>,
-    /// Where it is.
+    /// Pool that the host leaves.
     pub from: PoolName,
-    /// Where it should be.
+    /// Pool that the host joins.
     pub to: PoolName,
 }
 
-/// How long a host may be up without its worker being of use, before its pool gets another for it. A
-/// worker joins within a second after its host is back, and short cuts are not worth a move.
-const ABSENT_TIME: Millis = Millis(1500);
+/// How long the worker of a running host may be absent before its pool gets another host in its
+/// place. A worker joins within a second after its host is back, and short partitions are not worth
+/// a move.
+const MAX_ABSENCE: Millis = Millis(1500);
 
-/// What a pool has and needs, as a round found it.
+/// Hosts of a pool and its need for them, as found in one round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostDemand {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// Hosts that it has or that are on their way to it.
+    /// Hosts that the pool has or that are moving to it.
     pub have: usize,
-    /// Hosts that it could use.
+    /// Hosts that the pool could use.
     pub claim: usize,
-    /// Hosts that it should have, which are fewer if the fleet has less than all pools could use.
+    /// Hosts that the pool should have; fewer than `claim` if the fleet is too small for all
+    /// claims.
     pub want: usize,
-    /// Hosts of it that may leave now.
+    /// Hosts of the pool that may leave now.
     pub free: usize,
-    /// Hosts that what is in use of all of them would fill.
+    /// Number of hosts that the pool's used capacity would fill.
     pub busy: usize,
 }
 
-/// What is remembered from round to round.
+/// State of host balancing that is kept from round to round.
 #[derive(Debug, Clone, Default)]
 pub struct Balance {
-    /// What the last round found.
+    /// Demands found by the last round.
     demands: Vec<HostDemand>,
-    /// When a host was last seen to be somewhere new.
+    /// When a host was first seen in its current pool.
     arrived: BTreeMap<HostId, Tick>,
     place: BTreeMap<HostId, PoolName>,
-    /// Since when a host is up and its worker is of no use to its pool.
+    /// Since when a host has been up without a usable worker.
     absent: BTreeMap<HostId, Tick>,
     scale_down: ScaleDown,
 }
 
-/// A pool's hosts and what it needs of them.
+/// Hosts of a pool and its need for them, while a round is computed.
 struct Account {
     pool: PoolName,
-    /// Hosts that it has or that are on their way to it.
+    /// Hosts that the pool has or that are moving to it.
     have: usize,
-    /// Hosts that it could use, by urgency.
+    /// Hosts that the pool could use, by urgency.
     claim: Claim,
-    /// Hosts that it should have.
+    /// Hosts that the pool should have.
     want: usize,
-    /// Hosts that what is in use of all of them would fill.
+    /// Number of hosts that the pool's used capacity would fill.
     busy: usize,
-    /// Its owner has seen work arrive. Before that its hosts stay on: a lull is no news then, and the first callers of a
-    /// burst meet them instead of waiting two seconds for a host.
-    begun: bool,
-    /// Hosts that may leave.
+    /// The pool's owner has seen work arrive. Before that its hosts stay on: idleness means nothing
+    /// yet, and the first jobs of a burst would have to wait two seconds for a host.
+    has_seen_work: bool,
+    /// Empty hosts that may leave.
     free: Vec<Move>,
-    /// Hosts that do, since they are of no use where they stand.
-    idle: Vec<Move>,
+    /// Empty hosts that should leave, since their workers are drained.
+    drained_hosts: Vec<Move>,
 }
 
 impl Account {
@@ -120,13 +123,13 @@
 }
 
 impl Balance {
-    /// Returns a balance that remembers nothing.
+    /// Creates a balance without history.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the moves to begin now, the most urgent first. `rate` is how many orders a second the platform takes; `held` are
-    /// hosts that something else is done with.
+    /// Returns the moves to begin now, the most urgent first. `rate` is the number of orders a
+    /// second that the platform accepts; `held` says which hosts are in use for something else.
     pub fn next(
         &mut self,
         hosts: &BTreeMap<HostId, PlatformHost>,
@@ -136,23 +139,24 @@
         held: impl Fn(&HostId) -> bool,
         now: Tick,
     ) -> Vec<Move> {
-        self.remember(hosts, now);
+        self.record_arrivals(hosts, now);
         let spare = pools.iter().find(|(_, state)| state.spare).map(|(name, _)| name.clone());
         let largest = pools.values().filter_map(|state| largest_worker(&state.load)).max();
         let mut accounts: Vec<Account> = pools
             .iter()
             .filter(|(_, state)| !state.spare)
             .filter_map(|(name, state)| {
-                // A pool whose workers have not answered yet is taken to have such as the others have.
+                // A pool whose workers have not answered yet is assumed to have workers of the
+                // usual size.
                 let size = largest_worker(&state.load).or(largest)?;
                 Some(self.account(name, state, size, hosts, &held, now))
             })
             .collect();
         let mut off: Vec<Move> = match &spare {
-            Some(spare) => parked(spare, hosts, drained, &held),
+            Some(spare) => spare_hosts(spare, hosts, drained, &held),
             None => Vec::new(),
         };
-        share_out(&mut accounts, off.len());
+        limit_to_available(&mut accounts, off.len());
         self.demands = accounts.iter().map(Account::demand).collect();
         let mut moves = Vec::new();
         self.fill(&mut accounts, &mut off, &mut moves);
@@ -163,22 +167,22 @@
         moves
     }
 
-    /// Returns what a successor has to know of the pools' use of their hosts.
+    /// Returns the usage of hosts by pools as a record for the successor.
     pub fn record(&self, clock: ClockPair) -> UsageRecord {
         self.scale_down.record(clock)
     }
 
-    /// Takes over what a predecessor knew of it.
+    /// Merges the record of a predecessor into the usage history.
     pub fn restore(&mut self, record: &UsageRecord, clock: ClockPair) {
         self.scale_down.restore(record, clock);
     }
 
-    /// Returns what the last round found, before its moves.
+    /// Returns the demands found by the last round, before its moves.
     pub fn demands(&self) -> &[HostDemand] {
         &self.demands
     }
 
-    fn remember(&mut self, hosts: &BTreeMap<HostId, PlatformHost>, now: Tick) {
+    fn record_arrivals(&mut self, hosts: &BTreeMap<HostId, PlatformHost>, now: Tick) {
         for host in hosts.values() {
             let known = self.place.insert(host.host.clone(), host.pool.clone());
             if known.is_some_and(|known| known != host.pool) {
@@ -203,52 +207,52 @@
             state.load.workers.iter().map(|load| (&load.worker, load)).collect();
         let mut have = 0;
         let mut free: Vec<Move> = Vec::new();
-        let mut idle: Vec<Move> = Vec::new();
+        let mut drained_hosts: Vec<Move> = Vec::new();
         for host in usable {
             let load = host.worker.as_ref().and_then(|worker| loads.get(worker).copied());
             if let Some(load) = load.filter(|load| load.drained) {
                 if load.used == 0 && !load.pinned && !held(&host.host) {
-                    idle.push(leave(host, pool));
+                    drained_hosts.push(leave(host, pool));
                 }
                 continue;
             }
-            let of_use = load.is_some() || host.state != PlatformHostState::Up;
-            if of_use || state.load.unsettled || self.is_awaited(&host.host, now) {
+            let is_usable = load.is_some() || host.state != PlatformHostState::Up;
+            if is_usable || state.load.unsettled || self.is_awaited(&host.host, now) {
                 have += 1;
             }
-            if of_use {
+            if is_usable {
                 self.absent.remove(&host.host);
             }
-            let fresh =
-                self.arrived.get(&host.host).is_some_and(|since| now.since(*since) < STAY_TIME);
+            let is_new =
+                self.arrived.get(&host.host).is_some_and(|since| now.since(*since) < MIN_STAY);
             let Some(load) = load.filter(|load| !load.pinned) else {
                 continue;
             };
-            if host.state != PlatformHostState::Up || fresh || held(&host.host) {
+            if host.state != PlatformHostState::Up || is_new || held(&host.host) {
                 continue;
             }
-            // A host with work on it is only given away whole, so those in use count as needed.
+            // A host can only leave when it is empty, so hosts in use count as needed.
             if load.used == 0 {
                 free.push(leave(host, pool));
             }
         }
         free.sort_by(|a, b| a.host.cmp(&b.host));
-        let claim = claimed(&state.load, size);
+        let claim = claim_of(&state.load, size);
         let want = claim.total;
         let used: u64 = state.load.workers.iter().map(|load| load.used).sum();
         let busy = used.div_ceil(size.max(1)) as usize;
-        let begun = state.load.begun;
-        Account { pool: pool.clone(), have, claim, want, busy, begun, free, idle }
+        let has_seen_work = state.load.begun;
+        Account { pool: pool.clone(), have, claim, want, busy, has_seen_work, free, drained_hosts }
     }
 
-    /// Tells whether a host whose worker is of no use may be waited for.
+    /// Returns whether the worker of a host may still be expected to come back.
     fn is_awaited(&mut self, host: &HostId, now: Tick) -> bool {
         let since = *self.absent.entry(host.clone()).or_insert(now);
-        now.since(since) < ABSENT_TIME
+        now.since(since) < MAX_ABSENCE
     }
 
-    /// Gives hosts to pools that lack them: those that are off first, then those of pools that have
-    /// more than they need.
+    /// Gives hosts to pools that need more: first hosts that are switched off, then the surplus of
+    /// other pools.
     fn fill(&self, accounts: &mut [Account], off: &mut Vec<Move>, moves: &mut Vec<Move>) {
         let mut order: Vec<usize> = (0..accounts.len()).collect();
         order.sort_by_key(|&place| {
@@ -267,7 +271,7 @@
     }
 }
 
-/// Returns the step by which a host leaves its pool, whose end is not known yet.
+/// Returns a move of a host out of its pool, with the destination still to be set.
 fn leave(host: &PlatformHost, pool: &PoolName) -> Move {
     Move {
         host: host.host.clone(),
@@ -277,33 +281,33 @@
     }
 }
 
-/// Returns a pool's workers that are room.
+/// Returns the workers of a pool that count as capacity.
 fn usable(load: &PoolLoad) -> impl Iterator<Item = &WorkerLoad> {
     load.workers.iter().filter(|load| !load.drained)
 }
 
-/// Returns the size of a pool's largest worker, in thousandths of a core.
+/// Returns the capacity of a pool's largest worker, in thousandths of a core.
 fn largest_worker(load: &PoolLoad) -> Option<u64> {
     usable(load).map(|load| load.cores).max().filter(|cores| *cores > 0)
 }
 
-/// Returns an amount with the room that goes with it.
+/// Returns an amount plus the margin.
 fn with_margin(amount: u64) -> u64 {
     amount.saturating_add(amount.saturating_mul(MARGIN_PERCENT) / 100)
 }
 
-/// Returns how many hosts of this size a pool could use.
-fn claimed(load: &PoolLoad, size: u64) -> Claim {
+/// Returns the claim of a pool for hosts of this size.
+fn claim_of(load: &PoolLoad, size: u64) -> Claim {
     let pinned = usable(load).filter(|load| load.pinned).count();
     let extra = load.extra as usize;
-    let base = LEAST_HOSTS.max(pinned).max(load.least as usize);
+    let base = MIN_HOSTS.max(pinned).max(load.least as usize);
     let whole = with_margin(load.need);
     let hosts = |cores: u64| hosts_for(cores, load, size).max(base) + extra;
     Claim { base: base + extra, timely: hosts(load.timely.min(whole)), total: hosts(whole) }
 }
 
-/// Returns how many hosts bear this many thousandths of a core, the largest of the pool's own first: those that have shrunk bear
-/// less than others.
+/// Returns how many hosts provide this many thousandths of a core. The pool's own workers count
+/// first, the largest before those whose capacity has shrunk; further hosts count with `size`.
 fn hosts_for(cores: u64, load: &PoolLoad, size: u64) -> usize {
     let mut own: Vec<u64> = usable(load).map(|load| load.cores).collect();
     own.sort_unstable_by_key(|cores| std::cmp::Reverse(*cores));
@@ -319,8 +323,8 @@
     hosts + left.div_ceil(size) as usize
 }
 
-/// Cuts what the pools should have to the hosts that there are.
-fn share_out(accounts: &mut [Account], off: usize) {
+/// Limits what the pools should have to the available hosts.
+fn limit_to_available(accounts: &mut [Account], off: usize) {
     let claims: Vec<Claim> = accounts.iter().map(|account| account.claim).collect();
     let hosts = accounts.iter().map(|account| account.have).sum::<usize>() + off;
     for (account, share) in accounts.iter_mut().zip(divide(hosts, &claims)) {
@@ -328,7 +332,7 @@
     }
 }
 
-/// Takes an empty host from the pool that has most to spare.
+/// Takes an empty host from the pool with the largest surplus.
 fn surplus(accounts: &mut [Account]) -> Option<Move> {
     let donor = accounts
         .iter_mut()
@@ -338,8 +342,8 @@
     Some(donor.free.remove(0))
 }
 
-/// Returns the hosts that are off and would be of use.
-fn parked(
+/// Returns the hosts of the spare pool that can be switched on.
+fn spare_hosts(
     spare: &PoolName,
     hosts: &BTreeMap<HostId, PlatformHost>,
     drained: &BTreeSet<ZoneName>,
--- a/reachhead_jobs/src/balance/scale_down.rs
+++ b/reachhead_jobs/src/balance/scale_down.rs
@@ -1,10 +1,11 @@
-//! Which hosts are switched off, and when: those that their pools have not needed for a while.
+//! Decides which hosts to switch off: those that their pools have not needed for a while.
 //!
-//! Load: pools that burst by turns, every ten or twenty seconds, on thousands of hosts of which the platform moves some hundreds a
-//! second. A host that is switched off between two bursts of its pool is two moves that buy little, and its pool meets the next
-//! burst without it; hosts that no burst uses are most of the fleet, and are paid for until they are off. So a pool keeps what its
-//! work filled at most within the time in which a move pays, and at first a reserve: half of what it has, which shrinks as its
-//! work tells what it needs. See docs/DIVISION.md.
+//! Pools burst in turns, every ten or twenty seconds, on thousands of hosts of which the platform
+//! moves some hundreds a second. Switching a host off between two bursts of its pool takes two
+//! moves that gain little, and the pool meets the next burst without it. Hosts that no burst uses
+//! are most of the fleet and are paid for until they are off. So a pool keeps the peak of its usage
+//! over the time in which a move pays off. At first it keeps a reserve of half its hosts, which
+//! shrinks as its usage becomes stored. See docs/DIVISION.md.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,47 +15,48 @@
 use super::{Account, Move, with_margin};
 use crate::clock::Tick;
 
-/// How long a host must have been more than its pool needs before it is switched off. Where moves are not scarce, switching off
-/// and on costs as much as about two seconds of a host, and it is away for three: sooner, callers of the next burst
-/// wait for hosts that were just given up; later, the group pays for hosts that nobody uses.
-const IDLE_TIME: Millis = Millis(3000);
+/// How long a host must have been surplus before it is switched off. Where moves are not scarce,
+/// switching a host off and on costs about as much as two seconds of it, and it is away for three.
+/// Sooner, callers of the next burst would wait for hosts that were just given up; later, the
+/// customer would pay for hosts that it does not use.
+const MIN_IDLE: Millis = Millis(3000);
 
 /// Milliseconds in a second.
-const SECOND: f64 = 1000.0;
+const MS_PER_SECOND: f64 = 1000.0;
 
-/// Part of its hosts that a pool without any work keeps: one in so many.
-const RESERVE_PART: u64 = 2;
+/// Divisor of the reserve: a pool without any work keeps one host in this many.
+const RESERVE_DIVISOR: u64 = 2;
 
-/// What is remembered of the pools' use of their hosts, as the store keeps it for the next owner of all hosts. Without it a successor
-/// switches off what the next burst will use, or keeps what none did.
+/// Usage history of all pools, stored for the next owner of all hosts. Without it a successor would
+/// switch off hosts that the next burst needs, or keep hosts that no burst used.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct UsageRecord {
-    /// The pools.
+    /// Usage by pool.
     pub pools: BTreeMap<PoolName, PoolUsage>,
 }
 
-/// How many of its hosts a pool has used.
+/// Usage of its hosts by a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolUsage {
-    /// The most hosts that it had until it was seen to have work.
+    /// Most hosts that the pool had before its first work.
     pub first: usize,
-    /// Since when it has had work, in milliseconds since 1970.
+    /// When its first work was seen, in milliseconds since 1970.
     #[serde(rename = "begun")]
     pub active_since: Option<Millis>,
-    /// The most hosts that its work filled lately.
+    /// Most hosts that its work filled within the memory time.
     #[serde(rename = "most")]
     pub peak: usize,
-    /// When that was, in milliseconds since 1970.
+    /// When that peak was, in milliseconds since 1970.
     #[serde(rename = "at")]
     pub peak_at: Millis,
 }
 
-/// Both clocks of a process at one moment: ticks mean nothing to another process.
+/// Both clocks of a process at one moment, to convert ticks, which are valid in one process only.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockPair {
-    /// The moment.
+    /// Reading of the monotonic clock.
     pub now: Tick,
-    /// The time of day, in milliseconds since 1970.
+    /// Reading of the wall clock, in milliseconds since 1970.
     pub wall: Millis,
 }
 
@@ -68,31 +70,32 @@
     }
 }
 
-/// What is remembered of the pools' use of their hosts.
+/// Usage history of all pools, from which hosts to switch off are chosen.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ScaleDown {
-    pools: BTreeMap<PoolName, Use>,
+    pools: BTreeMap<PoolName, UsageHistory>,
     /// Since when a pool has had more hosts than it keeps.
-    idle: BTreeMap<PoolName, Tick>,
+    surplus_since: BTreeMap<PoolName, Tick>,
 }
 
-/// How many of its hosts a pool has used lately.
+/// Usage history of a pool.
 #[derive(Debug, Clone, Default)]
-struct Use {
-    /// The most hosts that it had until it was seen to have work.
+struct UsageHistory {
+    /// Most hosts that the pool had before its first work.
     first: usize,
-    /// Since when it has had work.
-    begun: Option<Tick>,
-    /// Hosts that its work filled, with the times of that; each number is more than all later ones.
-    highest: VecDeque<(Tick, usize)>,
+    /// When its first work was seen.
+    active_since: Option<Tick>,
+    /// Hosts that its work filled, with the time; a sliding-window maximum, in which each number is
+    /// greater than all later ones.
+    peaks: VecDeque<(Tick, usize)>,
 }
 
 impl ScaleDown {
-    /// Returns what a successor has to know.
+    /// Returns the history as a record for the successor.
     pub(super) fn record(&self, clock: ClockPair) -> UsageRecord {
         let pools = self.pools.iter().filter_map(|(pool, used)| {
-            let &(at, most) = used.highest.front()?;
-            let begun = used.begun.map(|begun| clock.wall_at(begun));
+            let &(at, most) = used.peaks.front()?;
+            let begun = used.active_since.map(|begun| clock.wall_at(begun));
             Some((
                 pool.clone(),
                 PoolUsage {
@@ -106,103 +109,111 @@
         UsageRecord { pools: pools.collect() }
     }
 
-    /// Takes over what a predecessor knew.
+    /// Merges the record of a predecessor into the history.
     pub(super) fn restore(&mut self, record: &UsageRecord, clock: ClockPair) {
-        for (pool, known) in &record.pools {
+        for (pool, stored) in &record.pools {
             let used = self.pools.entry(pool.clone()).or_default();
-            used.first = used.first.max(known.first);
-            used.begun = known.active_since.map(|begun| clock.tick_at(begun)).or(used.begun);
-            if used.highest.front().is_none_or(|(_, most)| *most < known.peak) {
-                used.highest.push_front((clock.tick_at(known.peak_at), known.peak));
+            used.first = used.first.max(stored.first);
+            used.active_since =
+                stored.active_since.map(|begun| clock.tick_at(begun)).or(used.active_since);
+            if used.peaks.front().is_none_or(|(_, most)| *most < stored.peak) {
+                used.peaks.push_front((clock.tick_at(stored.peak_at), stored.peak));
             }
         }
     }
 
-    /// Forgets pools that are gone: no owner tells of them, and what they used was long ago.
-    fn forget(&mut self, accounts: &[Account], trip: Millis, now: Tick) {
+    /// Drops pools that no owner reports any more and whose usage is older than the memory time.
+    fn prune(&mut self, accounts: &[Account], cost: Millis, now: Tick) {
         let is_there = |pool: &PoolName| accounts.iter().any(|account| account.pool == *pool);
-        let is_recent = |used: &Use| {
-            used.highest.back().is_some_and(|(at, _)| now.since(*at) <= memory_time(trip))
+        let is_recent = |used: &UsageHistory| {
+            used.peaks.back().is_some_and(|(at, _)| now.since(*at) <= history_window(cost))
         };
         self.pools.retain(|pool, used| is_there(pool) || is_recent(used));
     }
 
-    /// Returns the moves that switch hosts off, of all pools by turns: the platform's rate may cut them.
+    /// Returns the moves that switch hosts off, taking turns between pools, since the platform's
+    /// rate may cut the list short.
     pub(super) fn next(
         &mut self,
         accounts: &[Account],
         spare: &PoolName,
-        trip: Millis,
+        cost: Millis,
         now: Tick,
     ) -> Vec<Move> {
-        self.forget(accounts, trip, now);
-        let mut parks: Vec<Vec<&Move>> = Vec::new();
+        self.prune(accounts, cost, now);
+        let mut candidates: Vec<Vec<&Move>> = Vec::new();
         for account in accounts {
-            parks.push(account.idle.iter().collect());
+            candidates.push(account.drained_hosts.iter().collect());
             let used = self.pools.entry(account.pool.clone()).or_default();
-            used.note(account, trip, now);
-            let extra = account.have.saturating_sub(used.kept(account, trip, now));
+            used.observe(account, cost, now);
+            let extra = account.have.saturating_sub(used.hosts_to_keep(account, cost, now));
             if extra == 0 {
-                self.idle.remove(&account.pool);
+                self.surplus_since.remove(&account.pool);
                 continue;
             }
-            let since = *self.idle.entry(account.pool.clone()).or_insert(now);
-            if now.since(since) >= IDLE_TIME {
-                parks.push(account.free.iter().take(extra).collect());
+            let since = *self.surplus_since.entry(account.pool.clone()).or_insert(now);
+            if now.since(since) >= MIN_IDLE {
+                candidates.push(account.free.iter().take(extra).collect());
             }
         }
-        let longest = parks.iter().map(Vec::len).max().unwrap_or_default();
-        let turns = (0..longest).flat_map(|place| parks.iter().filter_map(move |of| of.get(place)));
+        let longest = candidates.iter().map(Vec::len).max().unwrap_or_default();
+        let turns =
+            (0..longest).flat_map(|place| candidates.iter().filter_map(move |of| of.get(place)));
         turns.map(|step| Move { to: spare.clone(), ..(*step).clone() }).collect()
     }
 }
 
-impl Use {
-    fn note(&mut self, account: &Account, trip: Millis, now: Tick) {
-        if self.begun.is_none() {
+impl UsageHistory {
+    fn observe(&mut self, account: &Account, cost: Millis, now: Tick) {
+        if self.active_since.is_none() {
             self.first = self.first.max(account.have);
         }
-        if account.begun {
-            self.begun.get_or_insert(now);
+        if account.has_seen_work {
+            self.active_since.get_or_insert(now);
         }
-        while self.highest.back().is_some_and(|(_, busy)| *busy <= account.busy) {
-            self.highest.pop_back();
+        while self.peaks.back().is_some_and(|(_, busy)| *busy <= account.busy) {
+            self.peaks.pop_back();
         }
-        self.highest.push_back((now, account.busy));
-        while self.highest.front().is_some_and(|(at, _)| now.since(*at) > memory_time(trip)) {
-            self.highest.pop_front();
+        self.peaks.push_back((now, account.busy));
+        while self.peaks.front().is_some_and(|(at, _)| now.since(*at) > history_window(cost)) {
+            self.peaks.pop_front();
         }
     }
 
     /// Returns how many hosts the pool keeps.
-    fn kept(&self, account: &Account, trip: Millis, now: Tick) -> usize {
-        if trip == Millis(0) {
-            // Before its owner has seen work a lull is no news, and callers of the first burst meet what there is.
-            return if account.begun { account.want } else { account.have };
+    fn hosts_to_keep(&self, account: &Account, cost: Millis, now: Tick) -> usize {
+        if cost == Millis(0) {
+            // Before the owner has seen work, idleness means nothing, and the first burst should
+            // find all hosts on.
+            return if account.has_seen_work { account.want } else { account.have };
         }
-        let highest = self.highest.front().map_or(0, |(_, busy)| *busy);
-        let highest = with_margin(highest as u64) as usize;
-        account.want.max(highest).max(self.reserve(trip, now))
+        let peak = self.peaks.front().map_or(0, |(_, busy)| *busy);
+        let peak = with_margin(peak as u64) as usize;
+        account.want.max(peak).max(self.reserve(cost, now))
     }
 
-    /// Returns how many hosts the pool keeps for work of which nothing is known yet. The longer it has had work, the more that tells.
-    fn reserve(&self, trip: Millis, now: Tick) -> usize {
-        let age = self.begun.map_or(Millis(0), |begun| now.since(begun));
-        let left = trip.0.saturating_sub(age.0);
-        (self.first as u64 * left).div_ceil(trip.0 * RESERVE_PART) as usize
+    /// Returns the reserve of hosts for unknown work, which shrinks with the time since the first
+    /// work.
+    fn reserve(&self, cost: Millis, now: Tick) -> usize {
+        let age = self.active_since.map_or(Millis(0), |begun| now.since(begun));
+        let left = cost.0.saturating_sub(age.0);
+        (self.first as u64 * left).div_ceil(cost.0 * RESERVE_DIVISOR) as usize
     }
 }
 
-/// Returns what switching an idle host off and on again costs, in time of a host. Each such move keeps another waiting that some
-/// burst needs, so it costs the fleet what the platform needs to move all hosts, shared by them. Where that is less than
-/// hosts are left idle anyway it does not count.
+/// Returns the cost of switching an surplus_since host off and on again, as time of a host. Each such move
+/// delays another that some burst needs, so its cost is the time that the platform needs to move
+/// all hosts, shared by them. Below the time for which hosts are left surplus_since anyway it does not
+/// count.
 pub fn restart_cost(hosts: usize, rate: f64) -> Millis {
-    let whole = if rate > 0.0 { Millis((hosts as f64 / rate * SECOND) as u64) } else { Millis(0) };
-    if whole <= IDLE_TIME { Millis(0) } else { Millis(2 * whole.0) }
+    let whole =
+        if rate > 0.0 { Millis((hosts as f64 / rate * MS_PER_SECOND) as u64) } else { Millis(0) };
+    if whole <= MIN_IDLE { Millis(0) } else { Millis(2 * whole.0) }
 }
 
-/// Returns how long it is remembered what a pool used. A host that is kept idle for a round trip has cost as much as one; the callers
-/// of the next burst, who wait for a host that has just been switched off, count half as much again.
-fn memory_time(trip: Millis) -> Millis {
-    Millis(trip.0 * 3 / 2)
+/// Returns how long usage is remembered. A host that is hosts_to_keep surplus_since for as long as `cost` has cost as
+/// much as a move; half as much again is for callers of the next burst, who would wait for a host
+/// that was just switched off.
+fn history_window(cost: Millis) -> Millis {
+    Millis(cost.0 * 3 / 2)
 }
