--- a/reachhead_jobs/src/customer.rs
+++ b/reachhead_jobs/src/customer.rs
@@ -1,32 +1,32 @@
-//! Customers: whom callers' keys stand for, and what each of them is owed.
+//! Customers with their keys, weights and quotas.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use reachhead_plan::amount::Amount;
 use reachhead_types::{id::CustomerName, size::Weight, token::KeyDigest};
 
-/// A customer as the configuration has it.
+/// A customer of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// The jobs a second that it is owed, which is its share as well when everything is in use.
+    /// Jobs a second that it is entitled to; also its fair share when all capacity is in use.
     pub weight: Weight,
-    /// What its tasks may have of all workers together.
+    /// Quota of its tasks on all workers together.
     pub quota: Quota,
 }
 
-/// The most that a customer's running tasks may have of each resource; 0 for no limit.
+/// Maximum of each resource for a customer's running tasks; 0 for no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Quota(pub Amount);
 
 impl Quota {
-    /// Tells whether any resource is limited.
+    /// Returns whether any resource is limited.
     pub fn is_limited(self) -> bool {
         self.0 != Amount::default()
     }
 
-    /// Tells whether `used` is within the quota.
+    /// Returns whether `used` is within the quota.
     pub fn allows(self, used: Amount) -> bool {
         used.only(self.0).fits(self.0)
     }
@@ -35,13 +35,13 @@
 /// The customers of a configuration and their keys.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Customers {
-    /// By name.
+    /// Customers by name.
     pub by_name: BTreeMap<CustomerName, Arc<Customer>>,
     by_key: BTreeMap<KeyDigest, CustomerName>,
 }
 
 impl Customers {
-    /// Returns no customers.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
@@ -58,17 +58,17 @@
         self
     }
 
-    /// Tells whether any customer has a quota.
+    /// Returns whether any customer has a quota.
     pub fn has_quotas(&self) -> bool {
         self.by_name.values().any(|customer| customer.quota.is_limited())
     }
 
-    /// Returns whose key this is.
+    /// Returns the customer that a key belongs to.
     pub fn customer_of_key(&self, key: &KeyDigest) -> Option<&CustomerName> {
         self.by_key.get(key)
     }
 
-    /// Returns what a customer may have at once; `None` where nothing limits it.
+    /// Returns the quota of a customer; `None` if it has none.
     pub fn quota(&self, customer: &CustomerName) -> Option<Quota> {
         self.by_name.get(customer).map(|customer| customer.quota).filter(|quota| quota.is_limited())
     }
--- a/reachhead_jobs/src/quota/allowance.rs
+++ b/reachhead_jobs/src/quota/allowance.rs
@@ -1,4 +1,4 @@
-//! What the owner of a pool may start for each customer.
+//! Limits by which the owner of a pool starts tasks of each customer.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,87 +14,89 @@
     customer::{Customers, Quota},
 };
 
-/// How long limits count after the ledger that gave them was replaced. The new one asks every owner within some
-/// milliseconds; an owner that it can't reach must not start anything for long on what others may have been given since.
+/// How long limits stay valid after the ledger that gave them was replaced. The new ledger contacts
+/// every owner within some milliseconds; an owner that it can't reach must soon stop starting tasks
+/// on quota that others may have been given since.
 pub const LIMIT_EXPIRY: Millis = Millis(2000);
 
-/// Steps of a quota in which what runs and waits is told.
-const STEPS: u64 = 16;
+/// Steps into which a quota is divided for reports of usage.
+const REPORT_STEPS: u64 = 16;
 
-/// What a customer has and could use in a pool, as its owner counts it.
+/// Usage and demand of a customer in a pool, as its owner counts them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Demand {
-    /// What its tasks have or may have.
+    /// Resources that its tasks use or may use.
     pub used: Amount,
-    /// What tasks would have that could start now.
+    /// Resources of the tasks that could start now.
     pub wanted: Amount,
-    /// What the next of these needs.
+    /// Resources of the next such task.
     pub next: Amount,
 }
 
 impl Demand {
-    /// Returns what the ledger is told. What runs and waits changes with each task, so it is told in steps, rounded up: a
-    /// customer's standing is told some times a second and not at each start.
+    /// Returns the usage to report to the ledger. It is rounded up to steps, since it changes with
+    /// each task but should be reported some times a second only.
     fn usage(self, limit: Amount, quota: Quota) -> CustomerUsage {
-        let rounded = self.used.stepped(quota.0, STEPS);
+        let rounded = self.used.stepped(quota.0, REPORT_STEPS);
         let used = if self.used.fits(limit) { rounded.least(limit) } else { rounded };
-        let wanted = self.wanted.stepped(quota.0, STEPS);
+        let wanted = self.wanted.stepped(quota.0, REPORT_STEPS);
         CustomerUsage { limit, used: used.max(self.used.least(limit)), wanted, next: self.next }
     }
 }
 
-/// The limits of a pool's customers.
+/// Limits of a pool's customers.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerLimits {
     customers: Arc<Customers>,
     ledger: FencingToken,
     round: u64,
     limits: BTreeMap<CustomerName, Amount>,
-    /// A later ledger that has not been heard.
-    heir: Option<Heir>,
-    /// The last statement, and the ledger and round that it answered.
-    told: BTreeMap<CustomerName, CustomerUsage>,
-    answered: (FencingToken, u64),
+    /// A newer ledger that has not sent limits yet.
+    successor: Option<Successor>,
+    /// Last report, with the ledger and round that it answered.
+    last_usage: BTreeMap<CustomerName, CustomerUsage>,
+    last_answered: (FencingToken, u64),
 }
 
 /// A ledger that replaces the one whose limits are known.
 #[derive(Debug, Clone, Copy)]
-struct Heir {
+struct Successor {
     ledger: FencingToken,
     since: Tick,
 }
 
 impl CustomerLimits {
-    /// Returns limits by which no customer with a quota may start anything: a predecessor may have used all of it.
+    /// Creates limits that allow no starts for customers with a quota, since a predecessor may have
+    /// used all of it.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over the customers of a configuration.
+    /// Sets the customers of a configuration.
     pub fn configure(&mut self, customers: &Arc<Customers>) {
         self.customers = Arc::clone(customers);
     }
 
-    /// Returns the jobs a second that a customer is owed; `None` where that is not said.
+    /// Returns the weight of a customer in jobs a second, or `None` if it has none.
     pub fn weight(&self, customer: &CustomerName) -> Option<Weight> {
         self.customers.by_name.get(customer).map(|known| known.weight).filter(|weight| weight.0 > 0)
     }
 
-    /// Tells whether any customer has a quota.
+    /// Returns whether any customer has a quota.
     pub fn has_quotas(&self) -> bool {
         self.customers.has_quotas()
     }
 
-    /// Takes in limits, unless they are for another owner or older than what is known.
+    /// Applies limits, unless they are for another owner or older than the known ones.
     pub fn apply(&mut self, allotment: &Allotment, owner: FencingToken) {
         let newer = (allotment.ledger, allotment.round) > (self.ledger, self.round);
-        let replaced = self.heir.is_some_and(|heir| heir.ledger > allotment.ledger);
+        let replaced = self.successor.is_some_and(|successor| successor.ledger > allotment.ledger);
         if !newer || replaced {
             return;
         }
         (self.ledger, self.round) = (allotment.ledger, allotment.round);
-        if self.heir.is_some_and(|heir| heir.ledger <= self.ledger) {
-            self.heir = None;
+        if self.successor.is_some_and(|successor| successor.ledger <= self.ledger) {
+            self.successor = None;
         }
         if allotment.owner == Some(owner) {
             let limits = allotment.limits.iter().map(|(name, limit)| (name.clone(), *limit));
@@ -102,30 +104,32 @@
         }
     }
 
-    /// Notes whose ledger counts by the store's word. Limits of an earlier one are kept for a while, as the new ledger asks
-    /// for them; one that can't reach this owner has to know when they are void.
+    /// Records the current ledger according to the store. Limits of an earlier one stay valid for a
+    /// while, until the new ledger has asked for them; if it can't reach this owner, they have to
+    /// expire.
     pub fn observe_ledger(&mut self, ledger: FencingToken, now: Tick) {
         if ledger > self.ledger {
-            let heir = self.heir.get_or_insert(Heir { ledger, since: now });
-            heir.ledger = heir.ledger.max(ledger);
+            let successor = self.successor.get_or_insert(Successor { ledger, since: now });
+            successor.ledger = successor.ledger.max(ledger);
         }
     }
 
-    /// Drops the limits if the ledger that gave them has long been replaced.
+    /// Drops the limits if the ledger that gave them was replaced longer than [`LIMIT_EXPIRY`] ago.
     pub fn expire(&mut self, now: Tick) {
-        if self.heir.is_some_and(|heir| now.since(heir.since) > LIMIT_EXPIRY) {
+        if self.successor.is_some_and(|successor| now.since(successor.since) > LIMIT_EXPIRY) {
             self.limits.clear();
         }
     }
 
-    /// Tells whether a customer that has `used` here may start a task that takes `need`.
+    /// Returns whether a customer that uses `used` here may start a task that needs `need`.
     pub fn allows(&self, customer: &CustomerName, used: Amount, need: Amount) -> bool {
         let Some(quota) = self.customers.quota(customer) else {
             return true;
         };
         let limit = self.limits.get(customer).copied().unwrap_or_default();
         let after = used.plus(need);
-        // A lowered quota counts at once, before the ledger has divided it. A task larger than the whole quota may run alone.
+        // A lowered quota applies at once, before the ledger has divided it. A task larger than the
+        // whole quota may run alone.
         let lowered = quota.allows(after) || used == Amount::default();
         within(quota, after, limit) && lowered
     }
@@ -141,7 +145,8 @@
         }
     }
 
-    /// Returns what the ledger is told in answer to a message: all, or what changed if it has the last statement.
+    /// Returns the report that answers a message: the changes if the ledger has the last report,
+    /// all customers otherwise.
     pub fn answer(
         &mut self,
         allotment: &Allotment,
@@ -150,22 +155,25 @@
     ) -> UsageReport {
         let mut report = self.report(owner, demand);
         let message = (allotment.ledger, allotment.round);
-        if message != (self.ledger, self.round) || message == self.answered {
-            // It is late, or came twice: nobody waits for this answer, and what the ledger has is another one.
+        if message != (self.ledger, self.round) || message == self.last_answered {
+            // The message is late or a duplicate: its answer is discarded, and the ledger has
+            // another report.
             return report;
         }
-        let told = std::mem::replace(&mut self.told, report.customers.clone());
-        let answered = std::mem::replace(&mut self.answered, message);
-        if allotment.owner == Some(owner) && answered == (allotment.ledger, allotment.last_report) {
+        let last_usage = std::mem::replace(&mut self.last_usage, report.customers.clone());
+        let last_answered = std::mem::replace(&mut self.last_answered, message);
+        if allotment.owner == Some(owner)
+            && last_answered == (allotment.ledger, allotment.last_report)
+        {
             report.whole = false;
-            report.customers.retain(|name, usage| told.get(name) != Some(usage));
-            let gone = told.into_keys().filter(|name| !self.told.contains_key(name));
+            report.customers.retain(|name, usage| last_usage.get(name) != Some(usage));
+            let gone = last_usage.into_keys().filter(|name| !self.last_usage.contains_key(name));
             report.customers.extend(gone.map(|name| (name, CustomerUsage::default())));
         }
         report
     }
 
-    /// Returns where all customers stand.
+    /// Returns the usage of all customers.
     pub fn report(
         &self,
         owner: FencingToken,
@@ -185,7 +193,7 @@
     }
 }
 
-/// Tells whether `amount` is within `limit` in every resource that the quota limits.
+/// Returns whether `amount` is within `limit` in every resource that the quota limits.
 fn within(quota: Quota, amount: Amount, limit: Amount) -> bool {
     amount.only(quota.0).fits(limit)
 }
