--- a/reachhead_jobs/src/job.rs
+++ b/reachhead_jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! The life of a job: which tasks are done, which may start, when it is over.
+//! Life cycle of a job: which tasks are done, which may start, and when the job ends.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -16,106 +16,108 @@
     task::{StepId, TaskId},
 };
 
-/// How long a task takes to start up at most. The percents of tasks that take hours say nothing for minutes, and workers on which
-/// one is tried get nothing else until it has started.
-const STARTUP_TIME: Millis = Millis(3000);
+/// Longest startup time of a task. Progress in percent says nothing for minutes on tasks that take
+/// hours, and a worker with a task on trial gets nothing else until the task has started.
+const MAX_STARTUP_TIME: Millis = Millis(3000);
 
-/// How far an order to run a task has come.
+/// Progress of the order to run a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// The order is under way or was not answered.
+    /// The order is in flight or was not answered.
     Ordered,
-    /// The worker has it.
+    /// The worker has confirmed the run.
     Working,
-    /// It was told to stop.
+    /// The worker was ordered to stop the run.
     Stopping,
 }
 
-/// A run of a task on a worker.
+/// A run: one attempt of a task on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Its number; numbers rise over all runs of the task.
+    /// Number of the run; it increases over all runs of the task.
     pub number: RunNumber,
-    /// The worker.
+    /// Worker of the run.
     pub worker: WorkerId,
-    /// How far it has come.
+    /// Progress of the order.
     pub phase: Phase,
     /// When it was ordered, or adopted from a predecessor.
     pub ordered_at: Tick,
-    /// When the worker confirmed that it is there, or that it can't come any more.
+    /// When the worker confirmed that it has the run, or that it can't start any more.
     pub settled_at: Option<Tick>,
-    /// The deadline that its orders carry; a repeated order must not extend it.
+    /// Lease deadline in its orders, by the worker's clock; a repeated order must not extend it.
     pub deadline: WorkerTime,
     /// An order was not answered, so a copy may still be carried out.
     pub unconfirmed: bool,
-    /// An order is under way.
+    /// An order is in flight.
     pub order_in_flight: bool,
     /// When the order is sent again.
     pub retry_at: Tick,
-    /// How much of it is done, in percent.
+    /// Progress in percent.
     pub percent: u32,
-    /// When the percentage last rose.
+    /// When the progress last increased.
     pub progressed_at: Tick,
-    /// When the worker last reported it, or it was ordered.
+    /// When the worker last reported the run, or when it was ordered.
     pub last_reported: Tick,
-    /// The worker's newest figure; see [`crate::ports::RunningEntry::figure`].
+    /// Latest metric from the worker; see [`crate::ports::RunningEntry::metric`].
     pub metric: u64,
-    /// The share at which it is let work, in percent.
+    /// Processor share that it may use, in percent.
     pub pace_percent: u32,
-    /// Why the worker may run it, where that is decided elsewhere.
+    /// Ticket that permits the run, where an external service decides which workers may run it.
     pub ticket: Option<String>,
-    /// A predecessor ordered it.
+    /// The run was ordered by a predecessor.
     pub adopted: bool,
 }
 
 impl Run {
-    /// Tells whether reports have shown that starting it has done no harm: it has progressed, or has been there for a while.
+    /// Returns whether reports show that starting the run did no harm: it has progressed, or has
+    /// been there for a while.
     pub fn has_worked(&self) -> bool {
-        self.percent > 0 || self.last_reported.since(self.ordered_at) >= STARTUP_TIME
+        self.percent > 0 || self.last_reported.since(self.ordered_at) >= MAX_STARTUP_TIME
     }
 
-    /// Tells whether a task that runs on is at work.
+    /// Returns whether a run of a long-running task has started up.
     pub fn at_work(&self) -> bool {
         self.phase == Phase::Working && self.percent >= 100
     }
 }
 
-/// A task.
+/// State of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Task {
-    /// It ended as done.
+    /// The task is done.
     pub done: bool,
-    /// Its runs that may be at work; more than one only where the step is speculative.
+    /// Runs that may be active; more than one only if the step is speculative.
     pub runs: Vec<Run>,
-    /// The runs that failed.
+    /// Failed runs.
     pub failed: Vec<RunNumber>,
-    /// The workers that crashed under it.
+    /// Crashes of workers that had the task.
     pub crashes: Crashes,
-    /// How often it was stopped since it stood still.
+    /// How often a run was stopped for lack of progress.
     pub stalls: u32,
-    /// The highest number that a run of it had.
+    /// Highest number of its runs.
     pub last_run: RunNumber,
-    /// Its newest checkpoint.
+    /// Latest checkpoint.
     pub checkpoint: Option<String>,
-    /// Workers on which it failed or stood still.
+    /// Workers on which it failed or made no progress.
     pub avoid: Vec<WorkerId>,
-    /// It is not started before this, so that a task that can't be placed is not tried all the time.
+    /// Earliest time of the next start, so that a task that can't be placed is not tried all the
+    /// time.
     pub not_before: Tick,
 }
 
 impl Task {
-    /// Returns its run with this number.
+    /// Returns the run with this number.
     pub fn run(&mut self, number: RunNumber) -> Option<&mut Run> {
         self.runs.iter_mut().find(|run| run.number == number)
     }
 }
 
-/// A step in one occurrence.
+/// State of a step in one occurrence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StepState {
-    /// Its tasks in their order.
+    /// Tasks by index.
     pub tasks: Vec<Task>,
-    /// How many of them are done.
+    /// Number of tasks that are done.
     pub done: u32,
 }
 
@@ -124,18 +126,18 @@
         Self { tasks: vec![Task::default(); count as usize], done: 0 }
     }
 
-    /// Tells whether every task is done or has a run.
+    /// Returns whether every task is done or has a run.
     pub fn is_fully_placed(&self) -> bool {
         self.tasks.iter().all(|task| task.done || !task.runs.is_empty())
     }
 
-    /// Tells whether all tasks are done.
+    /// Returns whether all tasks are done.
     pub fn is_done(&self) -> bool {
         self.done as usize >= self.tasks.len()
     }
 
-    /// Returns how many tasks beside this one have no run at work that is `certain`; for steps that
-    /// run on.
+    /// Returns how many other tasks of a long-running step have no run that is at work and
+    /// `certain`.
     pub fn missing_siblings(&self, index: u32, certain: impl Fn(&Run) -> bool) -> u32 {
         let works = |run: &Run| run.at_work() && certain(run);
         let others = (0..).zip(&self.tasks).filter(|(place, _)| *place != index);
@@ -143,43 +145,43 @@
     }
 }
 
-/// An accepted job that is not over.
+/// An accepted job that has not ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Its id.
+    /// Job id.
     pub id: JobId,
-    /// Its queue, as it was when the job was accepted.
+    /// Queue as configured when the job was accepted.
     pub queue: Arc<Queue>,
-    /// What it is to do.
+    /// Specification of the job.
     pub plan: Arc<Plan>,
-    /// Whose it is, if it came with a key.
+    /// Customer whose key the call had, if any.
     pub customer: Option<CustomerName>,
-    /// Its customer had sent more than its weight when it came, so it waits for what others are owed.
+    /// Its customer had exceeded its weight when the job came, so it yields to jobs of others.
     pub over_share: bool,
     /// When it was accepted, on this process's clock.
     pub accepted: Tick,
-    /// The revision of its row of progress, if it has one.
+    /// Revision of its progress row, if there is one.
     pub revision: Option<Revision>,
-    /// The revision of its own row, if it is known.
+    /// Revision of its job row, if stored.
     pub row: Option<Revision>,
-    /// It was accepted before this owner took charge, so a predecessor may have started tasks.
+    /// It was accepted before this owner took over, so a predecessor may have started tasks.
     pub recovered: bool,
     /// A task of it has been started.
     pub started: bool,
-    /// How it ended; it lives on until that is recorded.
+    /// How it ended; the job is kept until that is recorded.
     pub ending: Option<Ending>,
-    /// Its end is recorded, and it only waits for its runs to be gone.
+    /// Its end is recorded, and it is kept until its runs have ended.
     pub recorded: bool,
-    /// Its progress changed since the last transaction about it was made.
+    /// It has progress since its last transaction was built.
     pub unsaved: bool,
-    /// The steps of the occurrences that are due.
+    /// Steps of the occurrences that are due.
     pub steps: BTreeMap<StepId, StepState>,
-    /// How many occurrences have become due.
+    /// Number of occurrences that are due.
     pub due: u32,
 }
 
 impl Job {
-    /// Returns a job without progress.
+    /// Creates a job without progress.
     pub fn new(id: JobId, record: &JobRecord, accepted: Tick) -> Self {
         Self {
             id,
@@ -200,13 +202,13 @@
         }
     }
 
-    /// Returns the model of a step.
+    /// Returns the specification of a step.
     pub fn step(&self, id: StepId) -> &Step {
         &self.plan.steps[id.step as usize]
     }
 
-    /// Makes the occurrences that are due by `wall` (milliseconds since 1970) part of the job, and
-    /// returns when the next one is due.
+    /// Adds the occurrences that are due by `wall` (milliseconds since 1970). Returns when the next
+    /// one is due.
     pub fn add_due_occurrences(&mut self, wall: Millis) -> Option<Millis> {
         let total = self.plan.occurrences();
         while self.due < total {
@@ -227,7 +229,7 @@
         None
     }
 
-    /// Tells whether the tasks of a step may start.
+    /// Returns whether the steps that a step depends on are done.
     pub fn is_ready(&self, id: StepId) -> bool {
         self.step(id).after.iter().all(|&earlier| {
             let earlier = StepId { step: earlier, ..id };
@@ -235,40 +237,41 @@
         })
     }
 
-    /// Tells whether a task that may crash its worker waits to be started.
+    /// Returns whether a task that may crash its worker waits to be started.
     pub fn has_suspects(&self) -> bool {
         let waits = |task: &Task| !task.done && task.runs.is_empty() && task.crashes.is_suspect();
         self.steps.values().flat_map(|step| &step.tasks).any(waits)
     }
 
-    /// Tells whether any run of it may be at work.
+    /// Returns whether any run of the job may be active.
     pub fn has_runs(&self) -> bool {
         self.steps.values().flat_map(|step| &step.tasks).any(|task| !task.runs.is_empty())
     }
 
-    /// Returns the task, if it is one of the job's and due.
+    /// Returns the task if it belongs to the job and is due.
     pub fn task(&mut self, id: TaskId) -> Option<&mut Task> {
         self.steps.get_mut(&id.step_id())?.tasks.get_mut(id.index as usize)
     }
 
-    /// Notes that a task is done, and tells whether that is news. A gang is done with any member.
+    /// Marks a task as done and returns whether it was not before. A gang is done with any of its
+    /// tasks.
     pub fn mark_done(&mut self, id: TaskId) -> bool {
         let gang = self.plan.steps.get(id.step as usize).is_some_and(|step| step.gang);
         let Some(step) = self.steps.get_mut(&id.step_id()) else {
             return false;
         };
-        let mut news = false;
+        let mut is_new = false;
         for (index, task) in step.tasks.iter_mut().enumerate() {
             if !task.done && (gang || index == id.index as usize) {
                 task.done = true;
                 step.done += 1;
-                news = true;
+                is_new = true;
             }
         }
-        news
+        is_new
     }
 
-    /// Notes that a run failed; tells whether that is news.
+    /// Records a failed run and returns whether it was not recorded before.
     pub fn record_failure(&mut self, id: TaskId, run: RunNumber) -> bool {
         match self.task(id) {
             Some(task) if !task.failed.contains(&run) => {
@@ -279,22 +282,23 @@
         }
     }
 
-    /// Tells whether every task of every occurrence is done.
+    /// Returns whether all tasks of all occurrences are done.
     pub fn is_complete(&self) -> bool {
         self.due == self.plan.occurrences() && self.steps.values().all(StepState::is_done)
     }
 
-    /// Tells whether a task has failed so often that the job has, or is given up for what it does to workers.
+    /// Returns whether a task has failed too often, or was given up since it crashes workers.
     pub fn has_failed(&self) -> bool {
         let limit = self.queue.attempts as usize;
         self.steps.iter().any(|(&id, step)| {
-            let spent = |task: &Task| task.failed.len() >= limit && !self.step(id).long_running;
-            let hopeless = |task: &Task| spent(task) || task.crashes.is_conclusive();
-            step.tasks.iter().any(|task| !task.done && hopeless(task))
+            let is_exhausted =
+                |task: &Task| task.failed.len() >= limit && !self.step(id).long_running;
+            let is_given_up = |task: &Task| is_exhausted(task) || task.crashes.is_conclusive();
+            step.tasks.iter().any(|task| !task.done && is_given_up(task))
         })
     }
 
-    /// Returns everything that the workers may forget.
+    /// Returns the progress to store, after which the workers may forget it.
     pub fn progress(&self) -> ProgressRecord {
         let mut progress = ProgressRecord::default();
         for (id, step) in &self.steps {
@@ -310,7 +314,7 @@
         progress
     }
 
-    /// Takes over what a predecessor recorded.
+    /// Applies the progress stored by a predecessor.
     pub fn restore(&mut self, record: &ProgressRecord) {
         for (id, step) in &mut self.steps {
             if record.has_completed(id.step, id.occurrence) {
@@ -319,23 +323,23 @@
                 self.started = true;
             }
         }
-        for known in &record.steps {
-            let id = StepId { job: self.id, occurrence: known.occurrence, step: known.step };
+        for stored in &record.steps {
+            let id = StepId { job: self.id, occurrence: stored.occurrence, step: stored.step };
             let Some(step) = self.steps.get_mut(&id) else {
                 continue;
             };
-            for index in known.done.iter() {
+            for index in stored.done.iter() {
                 if let Some(task) = step.tasks.get_mut(index as usize).filter(|task| !task.done) {
                     task.done = true;
                     step.done += 1;
                 }
             }
-            for failure in &known.failed {
+            for failure in &stored.failed {
                 if let Some(task) = step.tasks.get_mut(failure.index as usize) {
                     task.failed.clone_from(&failure.runs);
                 }
             }
-            for crashed in &known.crashed {
+            for crashed in &stored.crashed {
                 if let Some(task) = step.tasks.get_mut(crashed.index as usize) {
                     task.crashes = crashed.crashes;
                 }
--- a/reachhead_jobs/src/model.rs
+++ b/reachhead_jobs/src/model.rs
@@ -1,4 +1,4 @@
-//! What a client hands in, and what the configuration says of queues and pools.
+//! Jobs as clients submit them, and the configuration of queues and pools.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,166 +11,167 @@
 
 use crate::customer::Customers;
 
-/// A step of a job: a number of equal tasks.
+/// A step of a job: a number of identical tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// How many tasks it has.
+    /// Number of tasks.
     pub count: u32,
-    /// What a task needs.
+    /// Resources that a task needs.
     pub need: Amount,
-    /// How long a task takes, as the client guesses.
+    /// Duration of a task as estimated by the client.
     pub estimate: Millis,
-    /// Earlier steps whose tasks must all be done first.
+    /// Indexes of earlier steps whose tasks must all be done first.
     pub after: Vec<u32>,
-    /// All tasks must be present before any of them works, and they are done together.
+    /// Gang scheduling: no task earlier_ends working earlier_ends all are placed, and they end together.
     pub gang: bool,
-    /// The tasks are slower when they are on more than one rack.
+    /// Tasks are slower when they are spread over more than one rack.
     pub same_rack: bool,
-    /// A label that the worker must have.
+    /// Label that a worker must have.
     pub label: Option<Label>,
-    /// The rack of the data; elsewhere the tasks are slower.
+    /// Rack of the input data; tasks are slower elsewhere.
     pub rack: Option<Label>,
-    /// Tasks of the step on one worker at most; 0 for no limit.
+    /// Maximum number of tasks of the step on one worker; 0 for no limit.
     pub spread: u32,
-    /// Several runs of a task may work at once.
+    /// A task may have several runs at once.
     pub speculative: bool,
-    /// The tasks run until the job is cancelled.
+    /// Tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of one image behave alike.
     pub image: String,
-    /// Bound of the tail of the tasks' own response times; 0 if they serve nobody.
+    /// Latency target of the tasks, at the tail of their response times; 0 if they serve no
+    /// requests.
     pub target: Millis,
-    /// The tasks use what the others leave: their processors don't count against the capacity.
+    /// Best-effort: tasks use leftover processor time, which does not count against capacity.
     #[serde(rename = "fills")]
     pub best_effort: bool,
-    /// Tasks that planned work may take away at once; 0 where none is protected.
+    /// Tasks that planned work may make unavailable at once; 0 if the step is not protected.
     #[serde(rename = "may_miss")]
     pub max_unavailable: u32,
-    /// The tasks save their progress.
+    /// Tasks save checkpoints.
     pub checkpoints: bool,
 }
 
 impl Step {
-    /// Returns what a task takes of a worker's capacity.
+    /// Returns the resources that a task reserves on its worker.
     pub fn charge(&self) -> Amount {
         if self.best_effort { Amount { cores: 0, ..self.need } } else { self.need }
     }
 
-    /// Tells whether the tasks answer requests of their own users.
+    /// Returns whether the tasks serve requests with a latency target.
     pub fn is_latency_sensitive(&self) -> bool {
         self.target.0 > 0
     }
 }
 
-/// When a job runs, if it runs more than once or later.
+/// Schedule of a job that runs later or repeatedly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The first time, in milliseconds since 1970.
+    /// Start of the first occurrence, in milliseconds since 1970.
     pub start: Millis,
-    /// Time from one occurrence to the next.
+    /// Time between the earlier_ends of two occurrences.
     pub interval: Millis,
-    /// How often it runs.
+    /// Number of occurrences.
     pub count: u32,
 }
 
-/// What a job is to do.
+/// Specification of a job as submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What the workers are told to run; only they understand it.
+    /// Opaque payload that is passed on to the workers.
     pub payload: Arc<str>,
-    /// The steps.
+    /// Steps of the job.
     pub steps: Vec<Step>,
-    /// When it runs; `None` for at once and once.
+    /// Schedule; `None` to run once, immediately.
     pub schedule: Option<Schedule>,
 }
 
 impl Plan {
-    /// Returns how often the steps run.
+    /// Returns the number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.count.max(1))
     }
 
-    /// Tells whether the job runs until it is cancelled.
+    /// Returns whether the job runs until it is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// Tells whether tasks of it use what others leave.
+    /// Returns whether the job has best-effort tasks.
     pub fn has_best_effort(&self) -> bool {
         self.steps.iter().any(|step| step.best_effort)
     }
 
-    /// Returns the longest chain of the steps' times, as `time` gives them.
+    /// Returns the length of the longest chain of dependent steps, with step durations from `time`.
     pub fn critical_path(&self, time: impl Fn(&Step) -> Millis) -> Millis {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let before = step.after.iter().filter_map(|&earlier| ends.get(earlier as usize));
-            let start = before.copied().max().unwrap_or(0);
+            let earlier_ends = step.after.iter().filter_map(|&earlier| ends.get(earlier as usize));
+            let start = earlier_ends.copied().max().unwrap_or(0);
             ends.push(start + time(step).0);
         }
         Millis(ends.into_iter().max().unwrap_or(0))
     }
 }
 
-/// How the service that knows which workers may run a queue's steps is asked.
+/// How to call the service that decides which workers may run a queue's steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
-    /// How long one call takes at least.
+    /// Minimum duration of a call.
     pub decision: Millis,
-    /// How much longer it takes for each worker.
+    /// Additional duration of a call for each worker.
     pub per_worker: Millis,
-    /// How long its tickets are valid.
+    /// Validity of the tickets that it returns.
     pub validity: Millis,
 }
 
-/// A queue of jobs: a route of the configuration.
+/// A queue of jobs, which is a route of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// The queue's name.
+    /// Name of the queue.
     pub name: RouteName,
-    /// The host that callers name.
+    /// Host name in the caller's request.
     pub host: String,
-    /// What the path begins with.
+    /// Path prefix of the requests.
     pub prefix: String,
-    /// The pool whose workers run its tasks.
+    /// Pool whose workers run the tasks.
     pub pool: PoolName,
-    /// 0 comes first, and may displace others.
+    /// Priority; 0 comes first and may displace others.
     pub priority: u32,
-    /// How often a task may fail before its job has failed.
+    /// Number of failed runs of a task after which its job has failed.
     pub attempts: u32,
-    /// A job is in time within this many times its longest chain of work, and `target` more.
+    /// A job is in time if it ends within this factor times its critical path, plus `target`.
     pub stretch: f64,
-    /// See `stretch`.
+    /// Fixed part of the objective; see `stretch`.
     pub target: Millis,
-    /// Set where only some workers may run a step.
+    /// Set if only some workers may run a step.
     pub advice: Option<AdvicePolicy>,
-    /// Anybody may call it, without a key.
+    /// Callers need no key.
     #[serde(default)]
     #[serde(rename = "open")]
     pub allows_anonymous: bool,
 }
 
-/// What the configuration says of a pool.
+/// Configuration of a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolPolicy {
-    /// The pool's name.
+    /// Name of the pool.
     pub name: PoolName,
-    /// Its workers reject what does not fit.
+    /// Workers reject tasks that exceed their capacity.
     #[serde(rename = "guards")]
     pub rejects_overload: bool,
-    /// Its hosts are off and cost nothing.
+    /// Spare pool: its hosts are switched off and cost nothing.
     pub spare: bool,
 }
 
-/// Limits of what callers may send.
+/// Limits on requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// Bytes of a body.
+    /// Maximum size of a body, in bytes.
     pub body: usize,
-    /// Time in which a head must arrive.
+    /// Time in which a request head must arrive.
     pub head_time: Millis,
     /// Time for which a connection may be idle.
     pub idle_time: Millis,
@@ -179,20 +180,20 @@
 /// A version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// Its version; versions only go up.
+    /// Version number, which only increases.
     pub version: Version,
-    /// The queues.
+    /// All queues.
     pub queues: Vec<Arc<Queue>>,
-    /// The pools.
+    /// All pools by name.
     pub pools: BTreeMap<PoolName, PoolPolicy>,
-    /// Limits of calls.
+    /// Limits on requests.
     pub limits: CallLimits,
-    /// Whose keys callers have.
+    /// Customers and their keys.
     pub customers: Arc<Customers>,
 }
 
 impl Configuration {
-    /// Returns the queue of a call: the longest prefix among those of `host`.
+    /// Returns the queue of a request: the one with the longest matching prefix for `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Queue>> {
         self.queues
             .iter()
@@ -200,7 +201,7 @@
             .max_by_key(|queue| queue.prefix.len())
     }
 
-    /// Returns the queue of this name.
+    /// Returns the queue with this name.
     pub fn queue(&self, name: &RouteName) -> Option<&Arc<Queue>> {
         self.queues.iter().find(|queue| queue.name == *name)
     }
--- a/reachhead_jobs/src/progress.rs
+++ b/reachhead_jobs/src/progress.rs
@@ -1,62 +1,62 @@
-//! A job's progress as the store keeps it, so that the largest job's fits into a row.
+//! Persisted progress of a job, compact enough that the largest job's fits into one row.
 
 use reachhead_types::size::RunNumber;
 use serde::{Deserialize, Serialize};
 
 use crate::crashes::Crashes;
 
-/// Tasks in a word of a [`TaskSet`].
-const WORD: u32 = u32::BITS;
+/// Tasks per word of a [`TaskSet`].
+const TASKS_PER_WORD: u32 = u32::BITS;
 
-/// Tasks of one step by their places, each a bit in the row: a list would need some six bytes for each.
+/// Set of tasks of one step, stored as a bitmap: a list would need about six bytes for each task.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(from = "StoredSet", into = "StoredSet")]
 pub struct TaskSet {
     words: Vec<u32>,
 }
 
-/// The forms of a set in a row.
+/// Stored forms of a task set.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredSet {
-    /// The places one by one, as an earlier release wrote them.
+    /// Indexes one by one, as written by an earlier release.
     Places(Vec<u32>),
-    /// Thirty-two places a word, the lowest bit first.
+    /// Bitmap of 32 tasks a word, the lowest bit first.
     Words {
-        /// The words.
+        /// Words of the bitmap.
         words: Vec<u32>,
     },
 }
 
 impl TaskSet {
-    /// Adds the task at this place.
-    pub fn insert(&mut self, place: u32) {
-        let word = (place / WORD) as usize;
+    /// Adds the task with this index.
+    pub fn insert(&mut self, index: u32) {
+        let word = (index / TASKS_PER_WORD) as usize;
         if self.words.len() <= word {
             self.words.resize(word + 1, 0);
         }
-        self.words[word] |= 1 << (place % WORD);
+        self.words[word] |= 1 << (index % TASKS_PER_WORD);
     }
 
-    /// Tells whether it has no task.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.words.is_empty()
     }
 
-    /// Returns the places in ascending order.
+    /// Returns the indexes in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> {
         let words = (0..).zip(&self.words);
-        words.flat_map(|(number, word)| {
-            let set = (0..WORD).filter(move |bit| word & (1 << bit) != 0);
-            set.map(move |bit| number * WORD + bit)
+        words.flat_map(|(word_index, word)| {
+            let set = (0..TASKS_PER_WORD).filter(move |bit| word & (1 << bit) != 0);
+            set.map(move |bit| word_index * TASKS_PER_WORD + bit)
         })
     }
 }
 
 impl FromIterator<u32> for TaskSet {
-    fn from_iter<T: IntoIterator<Item = u32>>(places: T) -> Self {
+    fn from_iter<T: IntoIterator<Item = u32>>(indexes: T) -> Self {
         let mut set = Self::default();
-        places.into_iter().for_each(|place| set.insert(place));
+        indexes.into_iter().for_each(|index| set.insert(index));
         set
     }
 }
@@ -64,7 +64,7 @@
 impl From<StoredSet> for TaskSet {
     fn from(stored: StoredSet) -> Self {
         match stored {
-            StoredSet::Places(places) => places.into_iter().collect(),
+            StoredSet::Places(indexes) => indexes.into_iter().collect(),
             StoredSet::Words { words } => Self { words },
         }
     }
@@ -76,70 +76,71 @@
     }
 }
 
-/// A task that failed.
+/// A task with failed runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The task's place in the step.
+    /// Index of the task in its step.
     pub index: u32,
-    /// The runs that failed; a run that is told twice counts once.
+    /// Numbers of the failed runs; a run that is reported twice counts once.
     pub runs: Vec<RunNumber>,
 }
 
-/// A task under which workers crashed.
+/// A task that was on workers when they crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// The task's place in the step.
+    /// Index of the task in its step.
     pub index: u32,
-    /// What the crashes say of it: a successor must not begin to count anew, and lose as many workers again.
+    /// Crash counters of the task. They survive an ownership change, or the successor would lose as
+    /// many workers again before it gives the task up.
     pub crashes: Crashes,
 }
 
-/// What is known for good of a step in one occurrence.
+/// Persisted progress of a step in one occurrence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRecord {
-    /// Which repetition of the job.
+    /// Occurrence of the job.
     pub occurrence: u32,
-    /// The step's place in the job.
+    /// Index of the step in the job.
     pub step: u32,
-    /// The tasks that are done.
+    /// Tasks that are done.
     pub done: TaskSet,
-    /// The tasks that failed.
+    /// Tasks with failed runs.
     pub failed: Vec<Failure>,
-    /// The tasks under which workers crashed; a release that did not count them wrote none.
+    /// Tasks with crashes; earlier releases that did not count crashes wrote none.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashed: Vec<CrashRecord>,
 }
 
 impl StepRecord {
-    /// Tells whether nothing is known of the step.
+    /// Returns whether the record holds nothing.
     pub fn is_empty(&self) -> bool {
         self.done.is_empty() && self.failed.is_empty() && self.crashed.is_empty()
     }
 }
 
-/// Occurrences in a row in which all tasks of a step are done.
+/// Range of consecutive occurrences in which all tasks of a step are done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletedSteps {
-    /// The step's place in the job.
+    /// Index of the step in the job.
     pub step: u32,
-    /// The first of the occurrences.
+    /// First occurrence of the range.
     pub first: u32,
-    /// The last of them.
+    /// Last occurrence of the range.
     pub last: u32,
 }
 
-/// A job's progress: everything that its workers may forget.
+/// Progress of a job: everything that its workers may forget once it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ProgressRecord {
-    /// The steps of which anything is known and that are not done.
+    /// Steps with progress that are not done.
     pub steps: Vec<StepRecord>,
-    /// Steps that are done; an earlier release listed their tasks.
+    /// Steps that are done; an earlier release listed their tasks in `steps` instead.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub complete: Vec<CompletedSteps>,
 }
 
 impl ProgressRecord {
-    /// Tells whether all tasks of a step are done in an occurrence.
+    /// Returns whether all tasks of a step are done in an occurrence.
     pub fn has_completed(&self, step: u32, occurrence: u32) -> bool {
         let covers = |complete: &CompletedSteps| {
             complete.step == step && (complete.first..=complete.last).contains(&occurrence)
@@ -147,7 +148,7 @@
         self.complete.iter().any(covers)
     }
 
-    /// Adds a step of which all tasks are done; occurrences are added in their order.
+    /// Marks a step as done in an occurrence; occurrences must be added in ascending order.
     pub fn complete(&mut self, step: u32, occurrence: u32) {
         let last = self.complete.iter_mut().rev().find(|complete| complete.step == step);
         match last {
--- a/reachhead_jobs/src/record.rs
+++ b/reachhead_jobs/src/record.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of jobs and of who is in charge; docs/PLATFORM.md lists the tables.
+//! Records that the store keeps for jobs, pools and leases; docs/PLATFORM.md lists the tables.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -15,13 +15,14 @@
     shard::Shard,
 };
 
-/// Returns the part of the store in which a key, or what begins with the prefix `key`, lies. The rows of one part share what
-/// happens to it: they are written in one transaction, and can be away together while others are there.
+/// Returns the partition of the store that holds a key, or the keys with the prefix `key`. Rows of
+/// one partition can be written in one transaction, and a partition can be unavailable while others
+/// are not.
 pub fn part_of(key: &str) -> &str {
     key.split('/').nth(1).unwrap_or_default()
 }
 
-/// Returns the key of an accepted job that is not over.
+/// Returns the key of an accepted job that has not ended.
 pub fn job_key(pool: &PoolName, job: JobId) -> Key {
     Key(format!("job/{pool}.{}/{job}", Shard::of(job)))
 }
@@ -31,63 +32,63 @@
     Key(format!("progress/{pool}.{}/{job}", Shard::of(job)))
 }
 
-/// Returns the key of how a job ended.
+/// Returns the key of a job's final record.
 pub fn final_key(pool: &PoolName, job: JobId) -> Key {
     Key(format!("final/{pool}.{}/{job}", Shard::of(job)))
 }
 
-/// Returns what the keys of a pool's accepted jobs in one part begin with.
+/// Returns the key prefix of a pool's accepted jobs in one shard.
 pub fn job_prefix(pool: &PoolName, shard: Shard) -> String {
     format!("job/{pool}.{shard}/")
 }
 
-/// Returns what the keys of their progress begin with.
+/// Returns the key prefix of the progress of a pool's jobs in one shard.
 pub fn progress_prefix(pool: &PoolName, shard: Shard) -> String {
     format!("progress/{pool}.{shard}/")
 }
 
-/// Returns the key of a pool's fence in one part, on which the owner's transactions there depend.
+/// Returns the key of a pool's fence in one shard; each transaction of the owner there checks it.
 pub fn fence_key(pool: &PoolName, shard: Shard) -> Key {
     Key(format!("fence/{pool}.{shard}/owner"))
 }
 
-/// Returns the key of a worker that a pool may have used.
+/// Returns the key of a worker in a pool's roster.
 pub fn roster_key(pool: &PoolName, worker: &WorkerId) -> Key {
-    Key(format!("roster/{pool}/{ROSTER_WORKER}{worker}"))
+    Key(format!("roster/{pool}/{ROSTER_WORKER_PREFIX}{worker}"))
 }
 
-/// Returns the key of the row in which an earlier release kept all workers of a pool.
+/// Returns the key of the single row in which an earlier release kept a pool's roster.
 pub fn whole_roster_key(pool: &PoolName) -> Key {
     Key(format!("roster/{pool}/all"))
 }
 
-/// Returns what the keys of a pool's roster begin with.
+/// Returns the key prefix of a pool's roster.
 pub fn roster_prefix(pool: &PoolName) -> String {
     format!("roster/{pool}/")
 }
 
-/// Returns the worker that a row of a roster is about, if it is about one.
+/// Returns the worker of a roster row, or `None` if the key is not one of a worker.
 pub fn roster_worker(key: &Key) -> Option<WorkerId> {
     let rest = key.0.strip_prefix("roster/")?.split_once('/')?.1;
-    rest.strip_prefix(ROSTER_WORKER)?.parse().ok()
+    rest.strip_prefix(ROSTER_WORKER_PREFIX)?.parse().ok()
 }
 
-/// Returns the key of who is in charge of a pool.
+/// Returns the key of a pool's lease.
 pub fn lease_key(pool: &PoolName) -> Key {
     Key(format!("lease/{pool}/owner"))
 }
 
-/// Returns the key of what the owner of all hosts leaves to its successor about the pools' use of their hosts.
+/// Returns the key of the record of host usage that the owner of all hosts leaves to its successor.
 pub fn usage_key(hosts: &PoolName) -> Key {
     Key(format!("balance/{hosts}/use"))
 }
 
-/// Returns the key of a process on the list of processes.
+/// Returns the key of a process in the membership list.
 pub fn member_key(node: &NodeName) -> Key {
     Key(format!("lease/{MEMBER_PART}/{node}"))
 }
 
-/// Returns a record as the store takes it.
+/// Returns a record as a value for the store.
 pub fn value<T: Serialize>(record: &T) -> Value {
     match serde_json::to_value(record) {
         Ok(value) => value,
@@ -95,22 +96,22 @@
     }
 }
 
-/// What comes before a worker's id in the key of its row in a roster.
-const ROSTER_WORKER: &str = "worker/";
+/// Prefix of a worker's id in the keys of a roster.
+const ROSTER_WORKER_PREFIX: &str = "worker/";
 
-/// The part of the lease table that holds the processes.
+/// Partition of the lease table that holds the membership list.
 pub const MEMBER_PART: &str = "members";
 
 /// An accepted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Its queue, as it was when the job was accepted: the job outlives changes of the queue.
+    /// Queue as configured when the job was accepted; later changes of the queue don't apply.
     pub queue: Arc<Queue>,
-    /// What it is to do.
+    /// Specification of the job.
     pub plan: Arc<Plan>,
-    /// When it was accepted, in milliseconds since 1970 by the clock of the entry host.
+    /// Time of acceptance, in milliseconds since 1970 by the clock of the entry host.
     pub accepted: Millis,
-    /// Whose it is; `None` if it came without a key.
+    /// Customer whose key the call had; `None` if it had none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<CustomerName>,
 }
@@ -127,77 +128,79 @@
     Cancelled,
 }
 
-/// How a job ended, as the store keeps it.
+/// Final record of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// The job's queue.
+    /// Queue of the job.
     pub queue: RouteName,
-    /// How it ended.
+    /// How the job ended.
     pub ending: Ending,
-    /// When, in milliseconds since 1970; after a while the row is dropped.
+    /// Time of the end, in milliseconds since 1970; the row is deleted some time later.
     pub at: Millis,
-    /// Whose the job was.
+    /// Customer of the job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<CustomerName>,
 }
 
-/// A worker that a pool may have used.
+/// A roster entry: a worker that the pool may have used.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// The worker.
+    /// Worker id.
     pub worker: WorkerId,
-    /// Where it answers.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Set while nothing new is started there since it does not answer: no job whose row is newer
-    /// than this was ever started there.
+    /// Set while nothing is started there because it does not answer: jobs whose row has a newer
+    /// revision than this were never started there.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub closed: Option<Revision>,
 }
 
-/// All workers on which something of the pool may run, as an earlier release kept them in one row.
+/// Roster of a pool in a single row, as an earlier release kept it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Roster {
-    /// The workers in the order of their ids.
+    /// Workers in the order of their ids.
     pub workers: Vec<RosterEntry>,
 }
 
-/// Who is in charge of a pool; the row's revision is the fencing token.
+/// Lease of a pool; the revision of the row is the fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The process in charge; `None` after it gave the pool back.
+    /// Process that owns the pool; `None` after it released the lease.
     pub owner: Option<NodeName>,
-    /// Where that process answers its peers; a release that did not say is on the list of members.
+    /// Peer address of the owner; earlier releases did not write it, and their owners are members.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub address: Option<SocketAddr>,
-    /// How often the pool has changed hands; it makes the numbers of runs rise over owners.
+    /// Number of ownership changes of the pool; run numbers derive from it, so that they increase
+    /// from owner to owner.
     pub term: u64,
-    /// Set when it was given back by an owner to which every worker of its own predecessor had
-    /// answered, so that no order of anybody is under way.
+    /// The lease was released by an owner to which every worker of its predecessors had answered,
+    /// so no order of anyone is in flight.
     #[serde(default)]
     pub settled: bool,
-    /// Where it was given back otherwise: for how long what an earlier owner started may still be at work on a worker that has not
-    /// answered. A successor of one that did not say waits for as long as for an owner that may be alive.
+    /// For a lease that was released otherwise: how long a run that an earlier owner started may
+    /// still be active on a worker that has not answered. If a release did not write it, the
+    /// successor waits as long as for an owner that may be alive.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "open")]
     pub unsettled_for: Option<Millis>,
 }
 
-/// The newest owner that has fenced a part of the store.
+/// Fence of a shard: the newest owner that has fenced it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceRecord {
-    /// The token of its lease; a release that fenced all parts in one transaction wrote none.
+    /// Token of the owner's lease; a release that fenced all shards in one transaction wrote none.
     #[serde(default)]
     pub token: FencingToken,
-    /// The owner, for whoever reads the store.
+    /// Name of the owner, for people who read the store.
     pub owner: NodeName,
 }
 
-/// A process of the system.
+/// A member process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Where its peers reach it.
+    /// Address for its peers.
     pub address: SocketAddr,
-    /// What it bears; a release that did not say counts as weak.
+    /// Capacity weight; processes of an earlier release that did not write it count as weak.
     #[serde(default)]
     pub strength: Strength,
 }
--- a/reachhead_jobs/src/worker.rs
+++ b/reachhead_jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! What the owner of a pool knows of a worker.
+//! State of a worker as seen by the owner of its pool.
 
 use std::collections::BTreeMap;
 
@@ -15,199 +15,203 @@
     task::{StepId, TaskId},
 };
 
-/// Failures in a row, of more than one job, after which a worker is suspected.
-const SUSPECT_FAILURES: u32 = 3;
+/// Consecutive failures, in more than one job, after which a worker is suspected.
+const MIN_SUSPECT_FAILURES: u32 = 3;
 
-/// How long a suspected worker gets nothing. It covers most of a grey spell of some seconds, and a
+/// How long a suspected worker gets no tasks. It covers most grey failures of some seconds, and a
 /// wrong suspicion costs a pool little for that long.
-const SUSPECT_TIME: Millis = Millis(5000);
+const SUSPENSION: Millis = Millis(5000);
 
-/// How late an order without an answer may be carried out.
-const LATE_TIME: Millis = Millis(15_000);
+/// How late an unanswered order may still be carried out.
+const MAX_ORDER_DELAY: Millis = Millis(15_000);
 
 /// Weight of the newest observation of a worker's speed.
-const SPEED_RATE: f64 = 0.25;
+const SPEED_WEIGHT: f64 = 0.25;
 
-/// Speed, as a share of what is usual, below which a worker counts as slow. Tasks of a queue differ by a
-/// factor of two or three among themselves, and workers that turn slow are slower than that.
+/// Speed, relative to the usual one, below which a worker counts as slow. Durations within a queue
+/// differ by a factor of two or three, and workers that become slow are slower than that.
 const SLOW_SPEED: f64 = 0.35;
 
-/// How fast a slow worker is forgiven: its speed is taken to rise by this share a second.
+/// Assumed recovery of a slow worker's speed, per second.
 const SPEED_RECOVERY: f64 = 0.05;
 
-/// How fast tasks progress on a worker, as a share of what is usual for them.
+/// Speed at which tasks progress on a worker, relative to the usual one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Speed {
-    share: f64,
+    relative: f64,
     at: Tick,
 }
 
 impl Speed {
-    /// Returns the usual speed.
+    /// Creates the usual speed.
     pub const fn new(at: Tick) -> Self {
-        Self { share: 1.0, at }
+        Self { relative: 1.0, at }
     }
 
-    /// Notes that a task progressed at this share of the usual speed.
-    pub fn observe(&mut self, share: f64, now: Tick) {
-        let known = self.now(now);
-        self.share = known + SPEED_RATE * (share.clamp(0.0, 2.0) - known);
+    /// Records that a task progressed at this relative speed.
+    pub fn observe(&mut self, relative: f64, now: Tick) {
+        let current = self.now(now);
+        self.relative = current + SPEED_WEIGHT * (relative.clamp(0.0, 2.0) - current);
         self.at = now;
     }
 
     fn now(self, now: Tick) -> f64 {
         let seconds = now.since(self.at).0 as f64 / 1000.0;
-        self.share.max((self.share + SPEED_RECOVERY * seconds).min(1.0))
+        self.relative.max((self.relative + SPEED_RECOVERY * seconds).min(1.0))
     }
 
-    /// Tells whether the worker is slow.
+    /// Returns whether the worker is slow.
     pub fn is_slow(self, now: Tick) -> bool {
         self.now(now) < SLOW_SPEED
     }
 }
 
-/// What a run takes of a worker.
+/// Resources reserved for a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Charge {
-    /// The run.
+    /// Number of the run.
     pub run: RunNumber,
-    /// What it takes.
+    /// Reserved resources.
     pub amount: Amount,
 }
 
-/// How a worker treats its tasks lately.
+/// Recent task failures of a worker, and its suspension because of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FailureHistory {
     failures: u32,
     last_failed: Option<JobId>,
-    several: bool,
-    /// Until when it gets nothing.
+    multiple_jobs: bool,
+    /// The worker gets no tasks until then.
     pub suspended_until: Tick,
-    /// It gets one task at a time until one succeeds.
+    /// The worker gets one task at a time until one succeeds.
     pub probation: bool,
 }
 
 impl FailureHistory {
-    /// Notes a success.
+    /// Records that a task succeeded.
     pub fn record_success(&mut self) {
         *self = Self { suspended_until: self.suspended_until, ..Self::default() };
     }
 
-    /// Notes a failure of a task of `job`; tells whether the worker is suspected by it.
+    /// Records a failed task of `job` and returns whether the worker is suspected because of it.
     pub fn record_failure(&mut self, job: JobId, now: Tick) -> bool {
-        self.several |= self.last_failed.is_some_and(|last| last != job);
+        self.multiple_jobs |= self.last_failed.is_some_and(|last| last != job);
         self.last_failed = Some(job);
         self.failures += 1;
-        let suspected = self.several && (self.probation || self.failures >= SUSPECT_FAILURES);
+        let suspected =
+            self.multiple_jobs && (self.probation || self.failures >= MIN_SUSPECT_FAILURES);
         if suspected {
             self.suspend(now);
         }
         suspected
     }
 
-    /// Gives the worker nothing for a while, and then one task at a time.
+    /// Suspends the worker for a while, and then puts it on probation.
     pub fn suspend(&mut self, now: Tick) {
-        self.suspended_until = now + SUSPECT_TIME;
+        self.suspended_until = now + SUSPENSION;
         self.probation = true;
     }
 }
 
-/// Where the long-polling call to a worker stands.
+/// State of the long-polling call to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Poll {
-    /// The next one is due at this time.
+    /// The next call is due at this time.
     Due(Tick),
-    /// One is under way.
+    /// A call is in flight.
     InFlight,
 }
 
-/// An end that has to be recorded before the worker may forget it.
+/// An end that has to be stored before the worker may forget it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnrecordedEnd {
-    /// The job.
+    /// Job of the run that ended.
     pub job: JobId,
-    /// The newest transaction about the job has it.
+    /// The job's newest transaction contains the end.
     pub written: bool,
 }
 
 /// A worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Worker {
-    /// How it registered itself.
+    /// Its registration.
     pub info: WorkerInfo,
-    /// When the life that answers this owner began, if that was told: counts and clocks of two lives have nothing to do with
-    /// each other.
+    /// When the incarnation that answers this owner started, if current. End numbers and clocks of
+    /// two incarnations are unrelated.
     pub started_at: Option<Millis>,
-    /// The platform's list has it now.
+    /// It is registered at present.
     pub listed: bool,
-    /// The pool's roster in the store has it as open, so a successor will ask it.
+    /// It is open in the pool's stored roster, so a successor will contact it.
     pub rostered: bool,
-    /// Since when its calls fail.
+    /// Since when its calls have been failing.
     pub silent_since: Tick,
     /// When it last answered a call.
     pub last_contact: Tick,
-    /// Since when it is known.
+    /// When it became current.
     pub joined: Tick,
-    /// The newest reading of its clock.
+    /// Latest sample of its clock.
     pub clock: Option<ClockSample>,
-    /// The highest deadline that any order gave it.
+    /// Highest lease deadline in any order to it.
     pub max_deadline: WorkerTime,
     /// Its last call failed.
     pub silent: bool,
-    /// It is silent, and its host answered last that nobody listens there.
+    /// It is silent, and the last call found that nothing listens at its address.
     pub port_closed: bool,
-    /// It has answered this owner, so no order of a predecessor counts there any more.
+    /// It has answered this owner, so orders of predecessors have no effect there any more.
     pub answered: bool,
-    /// Where the long poll stands.
+    /// State of its long-polling call.
     pub poll: Poll,
-    /// Calls that failed in a row.
+    /// Consecutive failed calls.
     pub failed_calls: u32,
-    /// Ends up to this number were taken in.
+    /// Number of the last end that was processed.
     pub last_processed: u64,
-    /// Ends up to this number are recorded, or need no record.
+    /// Number up to which ends are stored or need not be, so that the worker may forget them.
     pub acknowledged: u64,
-    /// The ends that are not recorded yet, by their numbers.
+    /// Ends that are not stored yet, by number.
     pub unrecorded: BTreeMap<u64, UnrecordedEnd>,
-    /// What may run there.
+    /// Runs that may be active there, with their resources.
     pub runs: BTreeMap<TaskId, Charge>,
-    /// The sum of `runs`.
+    /// Sum of `runs`.
     pub used: Amount,
-    /// Runs there that belong to no task that this owner knows. What they take is not known, so the
+    /// Orphaned runs, of tasks that this owner does not know. Their resources are unknown, so the
     /// worker gets nothing until they are gone.
     pub orphan_runs: u32,
-    /// Operators drain its zone: it gets nothing new.
+    /// Operators drain its zone, so it gets nothing new.
     pub drained: bool,
-    /// Until when it gets nothing new, because planned work is about to take it.
+    /// It gets nothing new until then, because planned work is about to take it.
     pub cordoned_until: Tick,
-    /// Until when it gets nothing new unless a run ends there, since it has turned one away for want of room.
+    /// It gets nothing new until then or until a run ends there, since it rejected a run for lack
+    /// of capacity.
     pub full_until: Tick,
-    /// A step for which room is being made there, and until when.
+    /// Reservation for a step for which capacity is being freed.
     pub reserved: Option<Reservation>,
-    /// When what fills there was last compared with what it disturbs.
+    /// When its best-effort tasks were last compared with the tasks that they disturb.
     pub paced_at: Tick,
-    /// Orders to start there whose answers were lost lately; they may still come, to whatever life is there then.
+    /// Recent start orders whose answers were lost. They may still be carried out, by whatever
+    /// incarnation is there by then.
     pub lost_orders: Vec<LostOrder>,
-    /// When the last call to it ended without an answer.
+    /// When the last call ended without an answer.
     pub unanswered_at: Option<Tick>,
-    /// When it was noticed that it has started again.
+    /// When its last restart was noticed.
     pub restarted_at: Option<Tick>,
-    /// A task that may crash it and has not begun to work. Nothing else is started meanwhile, so that a crash is the
-    /// task's own.
+    /// Task on trial: it may crash the worker and has not started working. Nothing else is started
+    /// meanwhile, so that a crash can be attributed to it.
     pub trial: Option<TaskId>,
-    /// What it ran when its leases lapsed without an answer; if its life is over, it may be what it crashed by.
+    /// What it ran when its leases expired without an answer; the suspects if it turns out to have
+    /// crashed.
     pub crash_suspects: Vec<CrashSuspect>,
-    /// How it treats its tasks.
+    /// Recent failures of its tasks.
     pub failure_history: FailureHistory,
-    /// How fast its tasks progress.
+    /// Speed of its tasks.
     pub speed: Speed,
 }
 
-/// A task on a worker that may have crashed, and its part in that.
+/// A task on a worker that may have crashed, and its role in the crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashSuspect {
     /// The task.
     pub task: TaskId,
-    /// Its part.
+    /// Its role.
     pub role: CrashRole,
 }
 
@@ -218,21 +222,21 @@
     pub task: TaskId,
     /// The run.
     pub run: RunNumber,
-    /// When that was known.
+    /// When the answer was found to be lost.
     pub at: Tick,
 }
 
-/// Room that is kept for a step.
+/// Capacity reserved for a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reservation {
     /// The step.
     pub step: StepId,
-    /// When it ends.
+    /// When the reservation ends.
     pub until: Tick,
 }
 
 impl Worker {
-    /// Returns a worker of which only its registration is known.
+    /// Creates the state of a worker of which only the registration is current.
     pub fn new(info: WorkerInfo, now: Tick) -> Self {
         Self {
             started_at: info.started_at,
@@ -270,48 +274,49 @@
         }
     }
 
-    /// Notes that the answer to an order to start was lost.
+    /// Records that the answer to a start order was lost.
     pub fn record_lost_order(&mut self, task: TaskId, run: RunNumber, at: Tick) {
-        self.lost_orders.retain(|lost| at.since(lost.at) < LATE_TIME);
+        self.lost_orders.retain(|lost| at.since(lost.at) < MAX_ORDER_DELAY);
         self.lost_orders.push(LostOrder { task, run, at });
         self.record_unanswered(at);
     }
 
-    /// Notes that a call ended without an answer: it may still be carried out, by whatever life is there then.
+    /// Records that a call ended without an answer. It may still be carried out, by whatever
+    /// incarnation is there by then.
     pub fn record_unanswered(&mut self, at: Tick) {
         self.unanswered_at = Some(at);
-        if self.restarted_at.is_some_and(|reborn| at.since(reborn) < LATE_TIME) {
-            self.hold_back();
+        if self.restarted_at.is_some_and(|reborn| at.since(reborn) < MAX_ORDER_DELAY) {
+            self.suspend_until_calls_expire();
         }
     }
 
-    /// Notes that another life answers. A call to the old one that comes late would tell it to forget ends that nobody has read,
-    /// so it gets nothing until none can come any more.
+    /// Records that a new incarnation answers. A late call to the previous one would tell it to
+    /// forget ends that nobody has read, so the worker gets nothing until no such call can arrive.
     pub fn begin_incarnation(&mut self, at: Tick) {
         self.restarted_at = Some(at);
-        self.hold_back();
+        self.suspend_until_calls_expire();
     }
 
-    fn hold_back(&mut self) {
+    fn suspend_until_calls_expire(&mut self) {
         if let Some(unanswered) = self.unanswered_at {
             self.failure_history.suspended_until =
-                self.failure_history.suspended_until.max(unanswered + LATE_TIME);
+                self.failure_history.suspended_until.max(unanswered + MAX_ORDER_DELAY);
         }
     }
 
-    /// Returns what is free.
+    /// Returns the free capacity.
     pub fn free(&self) -> Amount {
         self.info.capacity.minus(self.used)
     }
 
-    /// Notes that a run may be there from now on.
+    /// Reserves resources for a run that may be active from now on.
     pub fn charge(&mut self, task: TaskId, run: RunNumber, amount: Amount) {
         self.release(task);
         self.runs.insert(task, Charge { run, amount });
         self.used = self.used.plus(amount);
     }
 
-    /// Notes that nothing of the task can be there any more.
+    /// Releases the resources of a task that can't be active there any more.
     pub fn release(&mut self, task: TaskId) {
         if let Some(charge) = self.runs.remove(&task) {
             self.used = self.used.minus(charge.amount);
@@ -320,40 +325,40 @@
         self.end_trial(task);
     }
 
-    /// Ends the trial of a task: it has begun to work, or is gone.
+    /// Ends the trial of a task, which has started working or is gone.
     pub fn end_trial(&mut self, task: TaskId) {
         if self.trial == Some(task) {
             self.trial = None;
         }
     }
 
-    /// Notes that a transaction was made that has all ends of the job so far.
+    /// Marks the ends of a job as contained in a transaction.
     pub fn mark_written(&mut self, job: JobId) {
         for end in self.unrecorded.values_mut().filter(|end| end.job == job) {
             end.written = true;
         }
     }
 
-    /// Notes that the newest transaction about the job is in force.
+    /// Removes the ends of a job that its newest transaction, now committed, contains.
     pub fn mark_recorded(&mut self, job: JobId) {
         self.unrecorded.retain(|_, end| end.job != job || !end.written);
         self.advance_acknowledged();
     }
 
-    /// Looks up to which number the worker may forget its ends.
+    /// Advances the number up to which the worker may forget its ends.
     pub fn advance_acknowledged(&mut self) {
         let first = self.unrecorded.keys().next();
-        let seen = first.map_or(self.last_processed, |first| first.saturating_sub(1));
-        self.acknowledged = self.acknowledged.max(seen);
+        let acknowledged = first.map_or(self.last_processed, |first| first.saturating_sub(1));
+        self.acknowledged = self.acknowledged.max(acknowledged);
     }
 
-    /// Returns when every lease that was given here has surely lapsed; `None` before its clock was
-    /// ever read, when none was given.
+    /// Returns when every lease given to the worker has certainly expired. `None` if no clock
+    /// sample was ever received, when no lease was given.
     pub fn leases_expire_at(&self) -> Option<Tick> {
         self.clock.map(|sample| sample.surely_past(self.max_deadline))
     }
 
-    /// Notes that it may not be there any more: it gets nothing until it answers.
+    /// Records that the worker may be gone; it gets nothing until it answers.
     pub fn mark_suspect(&mut self, now: Tick) {
         if !self.silent {
             self.silent_since = now;
@@ -364,18 +369,19 @@
         }
     }
 
-    /// Tells whether nothing can run there any more: it does not answer, and every lease has lapsed.
+    /// Returns whether nothing can be active there any more: it does not answer, and every lease
+    /// has expired.
     pub fn is_expired(&self, now: Tick) -> bool {
-        let lapsed = self.leases_expire_at().is_none_or(|lapse| lapse <= now);
-        self.silent && lapsed && self.runs.is_empty()
+        let expired = self.leases_expire_at().is_none_or(|expiry| expiry <= now);
+        self.silent && expired && self.runs.is_empty()
     }
 
-    /// Tells whether it has answered this owner that nothing runs there, and was given nothing since.
+    /// Returns whether the worker has reported that it runs nothing and was given nothing since.
     pub fn is_idle(&self) -> bool {
         self.answered && !self.silent && self.runs.is_empty() && self.orphan_runs == 0
     }
 
-    /// Tells whether it may get new tasks at all.
+    /// Returns whether the worker may get new tasks at all.
     pub fn accepts(&self, now: Tick) -> bool {
         self.listed
             && self.rostered
