--- a/reachhead_jobs/src/clock.rs
+++ b/reachhead_jobs/src/clock.rs
@@ -1,4 +1,4 @@
-//! Times: this process's steady clock, and what it knows of a worker's.
+//! Monotonic clocks: this process's own, and bounds on the clocks of workers.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -8,14 +8,14 @@
 use reachhead_types::size::Millis;
 use serde::{Deserialize, Serialize};
 
-/// A worker's clock may run this much slower than real time, by the platform's contract; in
+/// How much slower than real time a worker's clock may run by the platform's contract, in
 /// thousandths.
-const DRIFT_MILLIS: u64 = 20;
+const MAX_DRIFT_PER_MILLE: u64 = 20;
 
-/// Slack beyond a computed lapse, for rounding and for the message that told the clock.
-const LAPSE_SLACK: Millis = Millis(100);
+/// Slack added to a computed expiry, for rounding and the transit time of the clock sample.
+const EXPIRY_SLACK: Millis = Millis(100);
 
-/// A moment on this process's steady clock, in milliseconds from its start.
+/// A time on this process's monotonic clock, in milliseconds since its start.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -23,7 +23,7 @@
 pub struct Tick(pub u64);
 
 impl Tick {
-    /// Returns how long after `earlier` this is, nothing if it is before.
+    /// Returns the time since `earlier`, or zero if that is in the future.
     pub const fn since(self, earlier: Self) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -51,36 +51,37 @@
     }
 }
 
-/// A moment on a worker's own steady clock, in milliseconds.
+/// A time on a worker's own monotonic clock, in milliseconds.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct WorkerTime(pub u64);
 
-/// The newest reading of a worker's clock.
+/// The latest sample of a worker's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockSample {
-    /// What the worker's clock showed.
+    /// Time that the worker's clock showed.
     pub worker_time: WorkerTime,
-    /// When the answer that told it arrived here.
+    /// When the answer with the sample arrived.
     pub at: Tick,
 }
 
 impl ClockSample {
-    /// Returns what the worker's clock shows now, at least if it runs true.
+    /// Returns the worker's time now, if its clock runs true.
     pub fn estimate(self, now: Tick) -> WorkerTime {
         WorkerTime(self.worker_time.0 + now.since(self.at).0)
     }
 
-    /// Returns a moment of this process's clock at which the worker's has surely passed `deadline`.
+    /// Returns the time on this process's clock by which the worker's clock has certainly passed
+    /// `deadline`.
     pub fn surely_past(self, deadline: WorkerTime) -> Tick {
-        let left = deadline.0.saturating_sub(self.worker_time.0);
-        self.at + with_drift(Millis(left)) + LAPSE_SLACK
+        let remaining = deadline.0.saturating_sub(self.worker_time.0);
+        self.at + with_drift(Millis(remaining)) + EXPIRY_SLACK
     }
 }
 
-/// Returns how long a span on a worker's clock lasts at most.
+/// Returns the longest real time that a span on a worker's clock can take.
 pub const fn with_drift(span: Millis) -> Millis {
-    Millis(span.0 + span.0.div_ceil(1000 / DRIFT_MILLIS) + 1)
+    Millis(span.0 + span.0.div_ceil(1000 / MAX_DRIFT_PER_MILLE) + 1)
 }
--- a/reachhead_jobs/src/expiring_budget.rs
+++ b/reachhead_jobs/src/expiring_budget.rs
@@ -1,31 +1,32 @@
-//! How much of a pool goes to late jobs before those that can still be in time.
+//! Limits how much of a pool goes to expiring jobs ahead of jobs that can still be in time.
 //!
-//! Load: a burst meets a pool that has few hosts, and its first jobs are late before more hosts come. Work that can be in
-//! time comes first as long as the burst lasts, so without a share of their own the first callers wait until nobody waits
-//! for them any more. A late answer is worth little, but a job that was accepted and never done costs its caller most.
+//! When a burst meets a pool with few hosts, its first jobs are late before more hosts arrive. Jobs
+//! that can be in time come first for as long as the burst lasts, so without a budget of their own
+//! the first jobs would wait until their callers give up. A late answer is worth little, but an
+//! accepted job that is never done costs its caller most.
 
-/// Largest part of a pool's room that late jobs may have while others can be in time, in percent. It is enough for what
-/// a burst makes late in the two seconds that hosts take to come; with all of the room a long overload would make every
-/// job late, since each would be begun only when it expires.
-const SHARE_PERCENT: u64 = 25;
+/// Largest part of a pool's capacity for expiring jobs while others can be in time, in percent. It
+/// covers what a burst makes late in the two seconds until hosts arrive. With the whole capacity, a
+/// long overload would make every job late, since each would start only when it expires.
+const MAX_PERCENT: u64 = 25;
 
-/// What late jobs may still take of a pool's room, in thousandths of a core.
+/// Capacity that expiring jobs may still take in a pool, in thousandths of a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpiringBudget {
-    left: u64,
+    remaining: u64,
 }
 
 impl ExpiringBudget {
-    /// Returns the share in a pool with `room`, of which late jobs have `used`.
-    pub fn new(room: u64, used: u64) -> Self {
-        Self { left: (room * SHARE_PERCENT / 100).saturating_sub(used) }
+    /// Creates the budget of a pool with `capacity`, of which late jobs already have `used`.
+    pub fn new(capacity: u64, used: u64) -> Self {
+        Self { remaining: (capacity * MAX_PERCENT / 100).saturating_sub(used) }
     }
 
-    /// Takes room for a job, unless the share is used up. The last one may go beyond it, so that a job wider than
-    /// the share is not left out.
+    /// Takes capacity for a job unless the budget is used up. The last job may exceed it, so that a
+    /// job larger than the budget is not starved.
     pub fn take(&mut self, cores: u64) -> bool {
-        let open = self.left > 0;
-        self.left = self.left.saturating_sub(cores);
-        open
+        let available = self.remaining > 0;
+        self.remaining = self.remaining.saturating_sub(cores);
+        available
     }
 }
--- a/reachhead_jobs/src/lib.rs
+++ b/reachhead_jobs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Jobs on the workers of a pool: their model, their life cycle and who runs where.
+//! Scheduling of jobs on the workers of a pool: data model, job life cycle, placement, leases.
 //!
-//! Everything here is plain logic over explicit state and time; docs/PLATFORM.md tells how the
-//! programs use it.
+//! The crate is pure logic over explicit state and time, without I/O. docs/PLATFORM.md describes
+//! how the programs use it.
 
 pub mod authority;
 pub mod backoff;
--- a/reachhead_jobs/src/membership.rs
+++ b/reachhead_jobs/src/membership.rs
@@ -1,8 +1,9 @@
-//! Which processes are on the list of members: those that watch the owners of pools and take what is vacant.
+//! Membership: which processes watch the owners of pools and take over vacant pools.
 //!
-//! Load: hundreds or thousands of processes that start, restart or lose power at the same moment. Everybody follows the list, so
-//! with all of them on it each entry would be read by each process, and all would be written to one part of the store at once.
-//! Some strong ones are enough, whatever the size of the fleet.
+//! Hundreds or thousands of processes may start, restart or lose power at the same moment. All of
+//! them follow the membership list, so with every process on it each entry would be read by each
+//! process, and all entries would be written to one partition of the store at once. A few processes
+//! with much capacity suffice, whatever the size of the fleet.
 
 use std::time::Duration;
 
@@ -11,63 +12,65 @@
     size::{Millis, Strength},
 };
 
-/// Members that there should be at least: zones can be lost, and hosts be under maintenance.
-const SEATS_LEAST: usize = 16;
+/// Minimum number of members, since zones can be lost and hosts be under maintenance.
+const MIN_MEMBERS: usize = 16;
 
-/// Members for each pool, so that owners are processes that bear nothing else.
-const SEATS_PER_POOL: usize = 2;
+/// Members per pool, so that owners can be processes without other work.
+const MEMBERS_PER_POOL: usize = 2;
 
-/// How many times the wanted number there may be. Each leave is read by everybody, so a few too many cost less than leaving.
-const SURPLUS_FACTOR: usize = 4;
+/// Largest allowed ratio of members to the target. Each leave is read by every process, so a small
+/// surplus costs less than leaving.
+const MAX_SURPLUS_FACTOR: usize = 4;
 
-/// How much later a process of [`USUAL_STRENGTH`] begins to enter than the strongest; once enough of these are there the others
-/// need not enter at all.
-const STRENGTH_TIME: Millis = Millis(400);
+/// Delay of a process of [`REFERENCE_STRENGTH`] before it joins; stronger ones come earlier. Once
+/// enough of these have joined, the others need not join at all.
+const REFERENCE_DELAY: Millis = Millis(400);
 
-/// The most that a weak one is later.
-const STRENGTH_TIME_MOST: Millis = Millis(2000);
+/// Longest delay of a weak process.
+const MAX_STRENGTH_DELAY: Millis = Millis(2000);
 
-/// Time from one turn of entering to the next, in which all learn who has entered.
-const TURN_TIME: Millis = Millis(150);
+/// Time between two join rounds, in which all processes learn who has joined.
+const JOIN_ROUND: Millis = Millis(150);
 
-/// Turns of entering. In each about twice as many processes enter as in the one before, so that of any number up to some
-/// thousand times the seats only a few more enter than there are seats.
-const TURNS: f64 = 12.0;
+/// Number of join rounds. In each about twice as many processes try to join as in the one before,
+/// so that even with some thousand times as many processes as needed only a few too many join.
+const JOIN_ROUNDS: f64 = 12.0;
 
-/// Starts of tasks a second that a usual process bears.
-const USUAL_STRENGTH: u64 = 1000;
+/// Capacity weight of a typical process, in starts of tasks a second.
+const REFERENCE_STRENGTH: u64 = 1000;
 
-/// First pause after a write that failed.
-const RETRY_FIRST: Millis = Millis(200);
+/// First backoff after a failed write.
+const MIN_RETRY_PAUSE: Millis = Millis(200);
 
-/// Longest pause after writes that failed.
-const RETRY_MOST: Millis = Millis(5000);
+/// Longest backoff after failed writes.
+const MAX_RETRY_PAUSE: Millis = Millis(5000);
 
-/// Calls in a row that a member has to leave without an answer to be taken off the list.
+/// Consecutive unanswered pings after which a member is removed.
 pub const MAX_MISSED_PINGS: u32 = 4;
 
-/// A process as whoever decides about the list sees it.
+/// A process considered for membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberCandidate<'a> {
-    /// The process.
+    /// Name of the process.
     pub node: &'a NodeName,
-    /// What it bears.
+    /// Capacity weight.
     pub strength: Strength,
 }
 
 impl MemberCandidate<'_> {
-    /// Tells whether this process should rather be on the list than `other`.
+    /// Returns whether this process is preferred over `other` as a member.
     fn precedes(&self, other: &MemberCandidate<'_>) -> bool {
         (self.strength, other.node) > (other.strength, self.node)
     }
 }
 
-/// Returns how many members there should be.
+/// Returns the target number of members.
 pub fn target_members(pools: usize) -> usize {
-    SEATS_LEAST.max(SEATS_PER_POOL * pools)
+    MIN_MEMBERS.max(MEMBERS_PER_POOL * pools)
 }
 
-/// Tells whether a process should enter: fewer than the seats are taken by others that are at least as strong.
+/// Returns whether a process should join: there are fewer than `target_members` others that are at
+/// least as strong.
 pub fn should_join<'a>(
     own: MemberCandidate<'_>,
     others: impl Iterator<Item = MemberCandidate<'a>>,
@@ -77,32 +80,35 @@
         < target_members
 }
 
-/// Tells whether a member should leave: far more than the seats are taken by others that go before it.
+/// Returns whether a member should leave: there are far more than `target_members` others that are
+/// preferred over it.
 pub fn should_leave<'a>(
     own: MemberCandidate<'_>,
     others: impl Iterator<Item = MemberCandidate<'a>>,
     target_members: usize,
 ) -> bool {
-    let most = SURPLUS_FACTOR * target_members;
-    others.filter(|other| other.precedes(&own)).take(most).count() == most
+    let limit = MAX_SURPLUS_FACTOR * target_members;
+    others.filter(|other| other.precedes(&own)).take(limit).count() == limit
 }
 
-/// Returns how long a process of this strength waits before it enters; `share`, evenly random from 0 to 1, spreads those that
-/// are alike.
+/// Returns how long a process of this strength waits before it joins. `share`, random and uniform
+/// from 0 to 1, spreads processes of equal strength.
 pub fn join_delay(strength: Strength, share: f64) -> Duration {
-    let usual = STRENGTH_TIME.0 * USUAL_STRENGTH / u64::from(strength.0).max(1);
-    let first = Millis(usual.min(STRENGTH_TIME_MOST.0)).duration();
-    let turn = (TURNS + share.max(f64::MIN_POSITIVE).log2()).max(0.0);
-    first + TURN_TIME.duration().mul_f64(turn)
+    let delay = REFERENCE_DELAY.0 * REFERENCE_STRENGTH / u64::from(strength.0).max(1);
+    let first = Millis(delay.min(MAX_STRENGTH_DELAY.0)).duration();
+    let join_round = (JOIN_ROUNDS + share.max(f64::MIN_POSITIVE).log2()).max(0.0);
+    first + JOIN_ROUND.duration().mul_f64(join_round)
 }
 
-/// Returns how long a process waits after a write of the list that failed, or was late, so often in a row.
+/// Returns the backoff after this many consecutive failed or late writes of the membership list,
+/// with jitter `share` from 0 to 1.
 pub fn retry_pause(failures: u32, share: f64) -> Duration {
-    let pause = RETRY_FIRST.0 << failures.min(8);
-    Millis(pause.min(RETRY_MOST.0)).duration().mul_f64(0.5 + share)
+    let pause = MIN_RETRY_PAUSE.0 << failures.min(8);
+    Millis(pause.min(MAX_RETRY_PAUSE.0)).duration().mul_f64(0.5 + share)
 }
 
-/// Tells whether members that did not answer may be taken off the list: whoever hears none of them is itself cut off.
+/// Returns whether unreachable members may be removed: a process that reaches less than half of
+/// them is itself partitioned.
 pub fn can_remove_members(answered: usize, asked: usize) -> bool {
     2 * answered >= asked
 }
--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -1,4 +1,4 @@
-//! In which order jobs get room: by what their callers gain.
+//! Orders jobs for placement by class, priority and value per unit of remaining work.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,66 +10,67 @@
     model::{Plan, Queue, Step},
 };
 
-/// Weight of the newest observation in running means.
-const LEARNING_RATE: f64 = 0.05;
+/// Smallest weight of a new observation in the running means.
+const MIN_LEARNING_RATE: f64 = 0.05;
 
-/// Observations before a queue's own mean is used.
-const TRUST_COUNT: u32 = 8;
+/// Observations after which a queue's learned predictors replace the client's estimate.
+const MIN_OBSERVATIONS: u32 = 8;
 
-/// How late a job may be, in multiples of its objective, before nobody waits for it any more.
-const LATE_FACTOR: u64 = 3;
+/// Lateness, in multiples of a job's objective, beyond which its caller has given up.
+const ABANDON_FACTOR: u64 = 3;
 
-/// How long before nobody waits for it any more a late job counts as expiring, in multiples of its objective. A job
-/// that becomes late has waited for one objective, so it has another behind all that can be in time, and then one more in
-/// which the share of the room that expiring jobs get has to suffice.
+/// Time before the caller gives up in which a late job counts as expiring, in multiples of its
+/// objective. A job turns late after one objective; for another one it queues behind all jobs that
+/// can be in time, and the remaining one is the time in which the budget of expiring jobs has to
+/// suffice.
 const EXPIRING_FACTOR: u64 = 1;
 
-/// How long the tasks of a queue really take.
+/// Observed durations of a queue's tasks.
 ///
-/// Clients' guesses are far off on some queues and good on others, so each queue's better predictor
-/// is used: the guess, corrected by a common factor, or the queue's mean.
+/// Client estimates are far off on some queues and good on others, so each queue uses the predictor
+/// with the smaller error: the estimate times a common factor, or the queue's mean.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Durations {
+struct QueueDurations {
     count: u32,
-    /// Mean of the logarithm of the real time in milliseconds.
+    /// Mean of the logarithm of the actual time in milliseconds.
     log_mean: f64,
-    /// Mean of the logarithm of real time over guess.
+    /// Mean of the logarithm of the ratio of actual to estimated time.
     log_ratio: f64,
-    /// Mean squared error of the queue's mean.
+    /// Mean squared error of the queue's mean, in logarithms.
     mean_error: f64,
-    /// Mean squared error of the corrected guess.
-    guess_error: f64,
+    /// Mean squared error of the corrected estimate, in logarithms.
+    estimate_error: f64,
 }
 
-impl Durations {
+impl QueueDurations {
     fn new() -> Self {
-        Self { count: 0, log_mean: 0.0, log_ratio: 0.0, mean_error: 0.0, guess_error: 0.0 }
+        Self { count: 0, log_mean: 0.0, log_ratio: 0.0, mean_error: 0.0, estimate_error: 0.0 }
     }
 
-    fn learn(&mut self, guess: Millis, real: Millis) {
-        let real = (real.0.max(1) as f64).ln();
-        let ratio = real - (guess.0.max(1) as f64).ln();
+    fn learn(&mut self, estimate: Millis, actual: Millis) {
+        let actual = (actual.0.max(1) as f64).ln();
+        let ratio = actual - (estimate.0.max(1) as f64).ln();
         self.count += 1;
-        let rate = LEARNING_RATE.max(1.0 / f64::from(self.count));
+        let rate = MIN_LEARNING_RATE.max(1.0 / f64::from(self.count));
         let blend = |old: &mut f64, new: f64| *old += rate * (new - *old);
-        blend(&mut self.mean_error, (real - self.log_mean).powi(2));
-        blend(&mut self.guess_error, (ratio - self.log_ratio).powi(2));
-        blend(&mut self.log_mean, real);
+        blend(&mut self.mean_error, (actual - self.log_mean).powi(2));
+        blend(&mut self.estimate_error, (ratio - self.log_ratio).powi(2));
+        blend(&mut self.log_mean, actual);
         blend(&mut self.log_ratio, ratio);
     }
 
-    fn predict(&self, guess: Millis) -> Millis {
+    fn predict(&self, estimate: Millis) -> Millis {
         match self.predictor() {
-            Predictor::Guess => guess,
+            Predictor::Estimate => estimate,
             Predictor::Mean(time) => Millis(time as u64),
-            Predictor::Corrected(factor) => Millis((guess.0.max(1) as f64 * factor) as u64),
+            Predictor::Corrected(factor) => Millis((estimate.0.max(1) as f64 * factor) as u64),
         }
     }
 
     fn predictor(&self) -> Predictor {
-        if self.count < TRUST_COUNT {
-            Predictor::Guess
-        } else if self.mean_error < self.guess_error {
+        if self.count < MIN_OBSERVATIONS {
+            Predictor::Estimate
+        } else if self.mean_error < self.estimate_error {
             Predictor::Mean(self.log_mean.exp())
         } else {
             Predictor::Corrected(self.log_ratio.exp())
@@ -77,84 +78,84 @@
     }
 }
 
-/// By what the time of a queue's tasks is predicted.
+/// The predictor of a queue's task durations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Predictor {
-    /// The client's guess: too little was seen.
-    Guess,
+    /// The client's estimate, while there are too few observations.
+    Estimate,
     /// The queue's mean, in milliseconds.
     Mean(f64),
-    /// The guess times this.
+    /// The estimate times this factor.
     Corrected(f64),
 }
 
-/// What was learned of the queues of a pool.
+/// Estimates task durations and job sizes from what was observed on each queue of a pool.
 #[derive(Debug, Clone, Default)]
 pub struct DurationEstimator {
-    durations: BTreeMap<RouteName, Durations>,
-    work: BTreeMap<RouteName, Work>,
+    durations: BTreeMap<RouteName, QueueDurations>,
+    sizes: BTreeMap<RouteName, JobSize>,
 }
 
-/// What a queue's jobs ask for, on average. Their work follows from this and from how long tasks really take, so that a guess which
-/// proves wrong is not carried on.
+/// Mean size of a queue's jobs as submitted. Their work is derived from this and the current
+/// predictor, so that an estimate which proves wrong is not carried on.
 #[derive(Debug, Clone, Copy, Default)]
-struct Work {
+struct JobSize {
     count: u32,
-    /// Thousandths of a core of all tasks of a job.
+    /// Thousandths of a core, summed over all tasks of a job.
     cores: f64,
-    /// The same, each times the guessed milliseconds of the task.
-    guessed: f64,
+    /// Thousandths of a core times estimated milliseconds, summed over all tasks of a job.
+    estimated: f64,
 }
 
-impl Work {
+impl JobSize {
     fn learn(&mut self, plan: &Plan) {
         let cores = |step: &Step| f64::from(step.count) * step.need.cores as f64;
-        let guessed = |step: &Step| cores(step) * step.estimate.0 as f64;
+        let estimated = |step: &Step| cores(step) * step.estimate.0 as f64;
         self.count += 1;
-        let rate = LEARNING_RATE.max(1.0 / f64::from(self.count));
+        let rate = MIN_LEARNING_RATE.max(1.0 / f64::from(self.count));
         self.cores += rate * (plan.steps.iter().map(cores).sum::<f64>() - self.cores);
-        self.guessed += rate * (plan.steps.iter().map(guessed).sum::<f64>() - self.guessed);
+        self.estimated += rate * (plan.steps.iter().map(estimated).sum::<f64>() - self.estimated);
     }
 }
 
 impl DurationEstimator {
-    /// Notes how long a task took.
-    pub fn observe_task(&mut self, queue: &RouteName, guess: Millis, real: Millis) {
-        let durations = self.durations.entry(queue.clone()).or_insert_with(Durations::new);
-        durations.learn(guess, real);
+    /// Records how long a task took.
+    pub fn observe_task(&mut self, queue: &RouteName, estimate: Millis, actual: Millis) {
+        let durations = self.durations.entry(queue.clone()).or_insert_with(QueueDurations::new);
+        durations.learn(estimate, actual);
     }
 
-    /// Notes a job that was accepted.
+    /// Records the size of an accepted job.
     pub fn observe_job(&mut self, queue: &RouteName, plan: &Plan) {
-        self.work.entry(queue.clone()).or_default().learn(plan);
+        self.sizes.entry(queue.clone()).or_default().learn(plan);
     }
 
     /// Returns the mean work of a queue's jobs, in thousandths of a core times milliseconds.
     pub fn mean_work(&self, queue: &RouteName) -> f64 {
-        let Some(work) = self.work.get(queue) else {
+        let Some(size) = self.sizes.get(queue) else {
             return 0.0;
         };
-        match self.durations.get(queue).map_or(Predictor::Guess, Durations::predictor) {
-            Predictor::Guess => work.guessed,
-            Predictor::Mean(time) => work.cores * time,
-            Predictor::Corrected(factor) => work.guessed * factor,
+        match self.durations.get(queue).map_or(Predictor::Estimate, QueueDurations::predictor) {
+            Predictor::Estimate => size.estimated,
+            Predictor::Mean(time) => size.cores * time,
+            Predictor::Corrected(factor) => size.estimated * factor,
         }
     }
 
-    /// Returns how long a task of the step will take.
+    /// Returns the predicted duration of a task of the step.
     pub fn predict(&self, queue: &RouteName, step: &Step) -> Millis {
         self.durations
             .get(queue)
             .map_or(step.estimate, |durations| durations.predict(step.estimate))
     }
 
-    /// Returns the moment until which the job is in time.
+    /// Returns the time after acceptance within which the job is in time.
     pub fn objective(&self, queue: &Arc<Queue>, plan: &Plan) -> Millis {
         let chain = plan.critical_path(|step| self.predict(&queue.name, step));
         Millis(queue.target.0 + (chain.0 as f64 * queue.stretch) as u64)
     }
 
-    /// Returns the job's place in the order; the smallest comes first.
+    /// Returns the job's rank for placement; the smallest comes first.
     pub fn rank(&self, job: &Job, now: Tick) -> Rank {
         if job.plan.is_long_running() {
             let key = job.accepted.0 as f64;
@@ -162,96 +163,99 @@
             return Rank { class: Class::LongRunning, over_share: false, priority, key };
         }
         let objective = self.objective(&job.queue, &job.plan);
-        let left = self.left(job);
-        let ends = now + left.chain;
-        let expiring = LATE_FACTOR - EXPIRING_FACTOR;
+        let remaining = self.remaining(job);
+        let ends = now + remaining.chain;
+        let expiring = ABANDON_FACTOR - EXPIRING_FACTOR;
         let class = if ends <= job.accepted + objective {
             Class::InTime
         } else if ends <= job.accepted + Millis(objective.0 * expiring) {
             Class::Late
-        } else if ends <= job.accepted + Millis(objective.0 * LATE_FACTOR) {
+        } else if ends <= job.accepted + Millis(objective.0 * ABANDON_FACTOR) {
             Class::Expiring
         } else {
             Class::Missed
         };
         let mean = self.mean_work(&job.queue.name).max(1.0);
-        // A job earns a part by its number and a part by its work; what is left decides the price.
-        let worth = 0.3 + 0.7 * (left.whole / mean).min(4.0);
-        let key = left.work.max(1.0) / worth;
+        // The value of a job is a fixed part plus a part proportional to its work, capped; its
+        // price is the work that remains.
+        let value = 0.3 + 0.7 * (remaining.total / mean).min(4.0);
+        let key = remaining.work.max(1.0) / value;
         Rank { class, over_share: job.over_share, priority: job.queue.priority, key }
     }
 
-    fn left(&self, job: &Job) -> Left {
-        let mut left = Left { chain: Millis(0), work: 0.0, whole: 0.0 };
+    fn remaining(&self, job: &Job) -> Remaining {
+        let mut remaining = Remaining { chain: Millis(0), work: 0.0, total: 0.0 };
         let mut ends: Vec<u64> = vec![0; job.plan.steps.len()];
         for (id, state) in &job.steps {
             let step = job.step(*id);
             let time = self.predict(&job.queue.name, step);
             let per_task = step.need.cores as f64 * time.0 as f64;
-            left.whole += per_task * f64::from(step.count);
+            remaining.total += per_task * f64::from(step.count);
             if state.is_done() {
                 continue;
             }
             let waiting = state.tasks.iter().filter(|task| !task.done && task.runs.is_empty());
-            left.work += per_task * waiting.count() as f64;
+            remaining.work += per_task * waiting.count() as f64;
             let before = step.after.iter().filter_map(|&earlier| ends.get(earlier as usize));
             let end = before.copied().max().unwrap_or(0) + time.0;
             if let Some(slot) = ends.get_mut(id.step as usize) {
                 *slot = end;
             }
-            left.chain = left.chain.max(Millis(end));
+            remaining.chain = remaining.chain.max(Millis(end));
         }
-        left
+        remaining
     }
 }
 
-/// What is left of a job.
+/// Remaining work of a job.
 #[derive(Debug, Clone, Copy)]
-struct Left {
-    /// The longest chain of steps that are not done.
+struct Remaining {
+    /// Length of the longest chain of unfinished steps.
     chain: Millis,
-    /// The work of the tasks that wait.
+    /// JobSize of the tasks without a run, in thousandths of a core times milliseconds.
     work: f64,
-    /// The work of the whole job.
-    whole: f64,
+    /// JobSize of the whole job, in the same unit.
+    total: f64,
 }
 
-/// What a job can still get.
+/// Urgency of a job, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// Its tasks must be at work all the time.
+    /// Long-running: its tasks must run all the time.
     LongRunning,
-    /// It is late, and unless it starts soon nobody waits for it any more. It goes first inside a share of the pool's
-    /// room, see [`crate::expiring_budget`].
+    /// Late, and its caller gives up unless it starts soon. Goes first within a budget, see
+    /// [`crate::expiring_budget`].
     Expiring,
-    /// It can be done in time.
+    /// Can still be done in time.
     InTime,
-    /// It will be late, but not so late that nobody waits.
+    /// Late, but its caller still waits.
     Late,
-    /// It is too late; it still runs when there is room.
+    /// Too late for its caller; it runs when there is free capacity.
     Missed,
 }
 
-/// A job's place in the order.
+/// Rank of a job in the order of placement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rank {
-    /// What it can still get.
+    /// Urgency.
     pub class: Class,
-    /// It is more than its customer is owed.
+    /// The job exceeds its customer's weight.
     pub over_share: bool,
-    /// The priority of its queue; 0 comes first.
+    /// Priority of the queue; 0 comes first.
     pub priority: u32,
-    /// Work for each unit of worth.
+    /// Remaining work per unit of value.
     pub key: f64,
 }
 
 impl Rank {
     /// Compares two ranks; the smaller one comes first.
     pub fn compare(self, other: Self) -> std::cmp::Ordering {
-        let lasts = |rank: Self| rank.class != Class::LongRunning;
-        let by_owed = lasts(self).cmp(&lasts(other)).then(self.over_share.cmp(&other.over_share));
+        let is_transient = |rank: Self| rank.class != Class::LongRunning;
+        let by_share = is_transient(self)
+            .cmp(&is_transient(other))
+            .then(self.over_share.cmp(&other.over_share));
         let by_priority = self.priority.cmp(&other.priority);
-        by_owed
+        by_share
             .then(self.class.cmp(&other.class))
             .then(by_priority)
             .then(self.key.total_cmp(&other.key))
--- a/reachhead_jobs/src/place.rs
+++ b/reachhead_jobs/src/place.rs
@@ -1,4 +1,4 @@
-//! Which worker gets a task.
+//! Chooses the worker for a task.
 
 use std::collections::BTreeSet;
 
@@ -14,46 +14,50 @@
     worker::Worker,
 };
 
-/// How long a worker counts as one that has just joined.
-const YOUNG_TIME: Millis = Millis(10_000);
+/// How long a worker counts as newly joined.
+const NEWLY_JOINED_TIME: Millis = Millis(10_000);
 
-/// A task that needs a worker.
+/// A task to be placed on a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// Its step.
+    /// The task's step.
     pub step_id: StepId,
-    /// The task, if one is meant: a worker never has two runs of it.
+    /// The task, if it is a particular one: a worker never has two runs of the same task.
     pub task: Option<TaskId>,
-    /// The step's model.
+    /// The step's specification.
     pub step: &'a Step,
-    /// Workers on which it failed or stood still.
+    /// Workers on which the task failed or made no progress.
     pub avoid: &'a [WorkerId],
-    /// The rack on which other tasks of the step are, where they are better together.
+    /// Rack of the other tasks of the step, where they should be close together.
     pub rack: Option<&'a Label>,
-    /// Workers with tasks that run on, where the task is one too: their hosts can't leave the pool anyway, and each
-    /// further one is a host that idles with its pool for as long as the task lasts.
+    /// Workers that already have long-running tasks, if this task is long-running too. Their hosts
+    /// can't leave the pool anyway; each additional one is a host kept in the pool for as long as
+    /// the task runs.
     pub long_running_workers: Option<&'a BTreeSet<WorkerId>>,
-    /// The task may crash its worker, so it is tried where that does the least harm.
+    /// The task may crash its worker and is placed where that does the least harm.
     pub trial: bool,
 }
 
 impl PlacementRequest<'_> {
-    /// Tells whether the worker may run the task, room aside.
+    /// Returns whether the worker may run the task, apart from its free capacity.
     pub fn is_allowed(&self, worker: &Worker, now: Tick) -> bool {
         let labelled =
             self.step.label.as_ref().is_none_or(|label| worker.info.labels.contains(label));
-        labelled && worker.accepts(now) && self.spread_allows(worker)
+        labelled && worker.accepts(now) && self.is_within_spread(worker)
     }
 
-    /// Tells whether the task fits on the worker now.
+    /// Returns whether the worker may run the task and has the capacity for it.
     pub fn fits(&self, worker: &Worker, now: Tick) -> bool {
-        let kept =
+        let reserved =
             worker.reserved.is_some_and(|kept| kept.until > now && kept.step != self.step_id);
-        let twice = self.task.is_some_and(|task| worker.runs.contains_key(&task));
-        !kept && !twice && self.is_allowed(worker, now) && self.step.charge().fits(worker.free())
+        let duplicate = self.task.is_some_and(|task| worker.runs.contains_key(&task));
+        !reserved
+            && !duplicate
+            && self.is_allowed(worker, now)
+            && self.step.charge().fits(worker.free())
     }
 
-    fn spread_allows(&self, worker: &Worker) -> bool {
+    fn is_within_spread(&self, worker: &Worker) -> bool {
         self.step.spread == 0 || self.siblings(worker) < self.step.spread
     }
 
@@ -62,19 +66,19 @@
         siblings.count() as u32
     }
 
-    /// Returns how well the worker suits the task; the smallest is best.
+    /// Returns the cost of placing the task on the worker; the smallest is best.
     fn cost(&self, worker: &Worker, now: Tick) -> Cost {
-        let far = |rack: Option<&Label>| rack.is_some() && rack != worker.info.rack.as_ref();
+        let is_far = |rack: Option<&Label>| rack.is_some() && rack != worker.info.rack.as_ref();
         Cost {
-            avoided: self.avoid.contains(&worker.info.id),
+            failed_before: self.avoid.contains(&worker.info.id),
             slow: worker.speed.is_slow(now),
-            far: far(self.step.rack.as_ref()) || far(self.rack),
+            is_far: is_far(self.step.rack.as_ref()) || is_far(self.rack),
             siblings: if self.step.long_running { self.siblings(worker) } else { 0 },
-            young: self.trial && now.since(worker.joined) < YOUNG_TIME,
-            first_lasting: self
+            newly_joined: self.trial && now.since(worker.joined) < NEWLY_JOINED_TIME,
+            first_long_running: self
                 .long_running_workers
-                .is_some_and(|lasting| !lasting.contains(&worker.info.id)),
-            room: if self.trial || self.step.is_latency_sensitive() {
+                .is_some_and(|workers| !workers.contains(&worker.info.id)),
+            packing: if self.trial || self.step.is_latency_sensitive() {
                 worker.used.cores
             } else {
                 worker.free().cores
@@ -83,28 +87,28 @@
     }
 }
 
-/// How little a worker suits a task, the weightiest part first.
+/// Cost of a placement, compared field by field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
     /// The task failed there before.
-    avoided: bool,
+    failed_before: bool,
     /// Tasks take several times as long there.
     slow: bool,
-    /// It would be slower there than near its data or its siblings.
-    far: bool,
-    /// Tasks of the same step that would be lost with the worker.
+    /// Away from the rack of the task's data or siblings, where the task is slower.
+    is_far: bool,
+    /// Tasks of the same step that would be lost together with the worker.
     siblings: u32,
-    /// It has just joined, and would try a task that may crash it: a worker that goes down and up by turns must not be taken
-    /// for the task's victim.
-    young: bool,
-    /// It would be the first task there that runs on.
-    first_lasting: bool,
-    /// What is in use there for a task that serves, since others disturb it, or that may crash the worker; else what is free, so
-    /// that the work stands close and other workers are left empty.
-    room: u64,
+    /// Joined recently, for a task that may crash it. A worker that keeps restarting must not be
+    /// taken for the task's victim.
+    newly_joined: bool,
+    /// No long-running task runs there yet.
+    first_long_running: bool,
+    /// Used capacity for a latency-sensitive task, which others disturb, or for one that may crash
+    /// the worker. Otherwise free capacity (best fit), so that other workers stay empty.
+    packing: u64,
 }
 
-/// Returns the worker that suits the task best among those on which it fits.
+/// Returns the worker with the lowest cost among those that fit.
 pub fn choose_worker<'a>(
     wanted: &PlacementRequest<'_>,
     workers: impl Iterator<Item = &'a Worker>,
--- a/reachhead_jobs/src/registry.rs
+++ b/reachhead_jobs/src/registry.rs
@@ -1,7 +1,9 @@
-//! Registered workers as one process passes them on to the owners of pools.
+//! Change log of the registered workers, through which one process relays them to the owners of
+//! pools.
 //!
-//! Load: thousands of workers that say every few seconds that they live. Read by each owner of a pool, that is pools times workers;
-//! here each owner is told of its own workers, and only of what is new.
+//! Thousands of workers renew their registration every few seconds. If every owner read them all,
+//! the load would be pools times workers; with the log, each owner receives only its own workers,
+//! and only what changed.
 
 use std::collections::VecDeque;
 
@@ -10,19 +12,19 @@
 
 use crate::ports::WorkerInfo;
 
-/// Changes that are kept; who is further behind gets all workers.
-const CHANGES_KEPT: usize = 4096;
+/// Changes is_covered in the log; a reader that is further behind gets all workers.
+const MAX_CHANGES: usize = 4096;
 
-/// A worker that registered, changed its entry, or is gone.
+/// A worker that registered, changed its registration, or is gone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerChange {
-    /// The worker.
+    /// Worker id.
     pub id: WorkerId,
-    /// What it says of itself; `None` if its entry is gone or can't be read.
+    /// Its registration; `None` if that is gone or can't be read.
     pub info: Option<WorkerInfo>,
 }
 
-/// What changed among the registered workers.
+/// Versioned log of changes among the registered workers.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerChangeLog {
     version: u64,
@@ -30,16 +32,16 @@
 }
 
 impl WorkerChangeLog {
-    /// Notes a change.
+    /// Appends a change.
     pub fn record(&mut self, change: WorkerChange) {
         self.version += 1;
         self.changes.push_back((self.version, change));
-        if self.changes.len() > CHANGES_KEPT {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    /// Notes that anything may have changed: everybody gets all workers.
+    /// Discards the log, so that every reader gets all workers: anything may have changed.
     pub fn reset(&mut self) {
         self.version += 1;
         self.changes.clear();
@@ -50,11 +52,11 @@
         self.version
     }
 
-    /// Returns what changed after a version; `None` if that is not kept.
+    /// Returns the changes after a version; `None` if the log does not reach back that far.
     pub fn since(&self, after: u64) -> Option<impl Iterator<Item = &WorkerChange>> {
         let first = self.changes.front().map_or(self.version + 1, |(version, _)| *version);
-        let kept = after + 1 >= first && after <= self.version;
+        let is_covered = after + 1 >= first && after <= self.version;
         let newer = self.changes.iter().filter(move |(version, _)| *version > after);
-        kept.then(|| newer.map(|(_, change)| change))
+        is_covered.then(|| newer.map(|(_, change)| change))
     }
 }
--- a/reachhead_jobs/src/relay.rs
+++ b/reachhead_jobs/src/relay.rs
@@ -1,7 +1,8 @@
-//! A table of the store as one process passes it on to others.
+//! Change log of a store table, through which one process relays the table to others.
 //!
-//! Load: every process of a fleet has to know what operators wrote and who owns which pool. Asked by each, the store would be
-//! read in proportion to hosts times changes. Some processes ask it, and the others ask these.
+//! Every process of a fleet has to know the operators' settings and the owners of pools. If each
+//! read them from the store, its load would be hosts times changes. Some processes follow the
+//! store, and the others follow these.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,21 +11,21 @@
 
 use crate::ports::{Change, FeedPage};
 
-/// Changes that are kept; who is further behind gets the whole table.
-const CHANGES_KEPT: usize = 64;
+/// Changes kept in the log; a reader that is further behind gets the whole table.
+const MAX_CHANGES: usize = 64;
 
-/// A table as it was followed.
+/// A table with its recent changes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableChangeLog {
     rows: BTreeMap<Key, Change>,
     changes: VecDeque<Change>,
-    /// All changes after this revision are kept.
+    /// The log holds all changes after this revision.
     base: Revision,
     revision: Revision,
 }
 
 impl TableChangeLog {
-    /// Returns a log that begins with a whole table.
+    /// Creates a log that starts with a whole table.
     pub fn new(page: FeedPage) -> Self {
         let rows = page.changes.into_iter().map(|change| (change.row.key.clone(), change));
         Self {
@@ -40,7 +41,7 @@
         self.revision
     }
 
-    /// Takes in what the feed told next.
+    /// Applies the next changes of the feed.
     pub fn record(&mut self, changes: &[Change], revision: Revision) {
         for change in changes.iter().filter(|change| change.row.revision > self.revision) {
             if change.deleted {
@@ -50,7 +51,7 @@
             }
             self.changes.push_back(change.clone());
         }
-        while self.changes.len() > CHANGES_KEPT {
+        while self.changes.len() > MAX_CHANGES {
             if let Some(oldest) = self.changes.pop_front() {
                 self.base = self.base.max(oldest.row.revision);
             }
@@ -58,7 +59,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Returns what changed after a revision; `None` if that is not kept any more.
+    /// Returns the changes after a revision; `None` if the log does not reach back that far.
     pub fn since(&self, after: Revision) -> Option<FeedPage> {
         if after < self.base {
             return None;
