--- a/reachhead_jobs/src/ports/advice.rs
+++ b/reachhead_jobs/src/ports/advice.rs
@@ -1,4 +1,4 @@
-//! The service that knows which workers may run a step.
+//! External service that decides which workers may run a step.
 
 use futures::future::BoxFuture;
 use reachhead_store::StoreError;
@@ -6,22 +6,22 @@
 
 use crate::task::StepId;
 
-/// A worker that may run a step.
+/// Permission for a worker to run a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Approval {
-    /// The worker.
+    /// Worker id.
     pub worker: WorkerId,
-    /// What proves it to the worker.
+    /// Ticket that proves the permission to the worker.
     pub ticket: String,
 }
 
-/// The service that knows which workers may run a step.
+/// External service that decides which workers may run a step.
 pub trait Advisor: Send + Sync {
-    /// Asks which of `workers` may run the step.
+    /// Returns the approvals for those of `workers` that may run the step.
     ///
     /// # Errors
     ///
-    /// What went wrong; the call has no effect and may be repeated.
+    /// The store error that best describes the failure; the call has no effect and may be repeated.
     fn advise(
         &self,
         step: StepId,
--- a/reachhead_jobs/src/ports/caller.rs
+++ b/reachhead_jobs/src/ports/caller.rs
@@ -1,4 +1,4 @@
-//! What callers ask for, and who answers them.
+//! Requests of callers and the interface that answers them.
 
 use std::{sync::Arc, time::Instant};
 
@@ -14,59 +14,60 @@
     pool::JobState,
 };
 
-/// What a caller asks for.
+/// Request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallKind {
-    /// Take in a job.
+    /// Submit a job.
     Submit(JobId, Arc<Plan>),
-    /// Tell a job's state.
+    /// Return a job's state.
     State(JobId),
     /// Cancel a job.
     Cancel(JobId),
-    /// Tell how many jobs of the queue wait.
+    /// Return the number of waiting jobs of the queue.
     Waiting,
 }
 
-/// A call that was let in.
+/// An admitted call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Admission {
-    /// The queue that it asks for.
+    /// Queue of the request.
     pub queue: Arc<Queue>,
-    /// Whose key it has; `None` for a call without a known key to a queue that is open to all.
+    /// Customer whose key the call has; `None` for a call without a known key to a queue that needs
+    /// none.
     pub customer: Option<CustomerName>,
 }
 
 /// A caller's request to a queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// The queue and the caller.
+    /// Queue and customer.
     pub admission: Admission,
-    /// What is asked for.
+    /// Request.
     pub kind: CallKind,
-    /// Until when the caller waits.
+    /// Deadline of the caller.
     pub until: Instant,
 }
 
-/// What a caller is told.
+/// Answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// The job is stored and will run.
     Accepted,
-    /// The job's state.
+    /// State of the job.
     State(JobState),
-    /// The job will not start anything any more.
+    /// The job is cancelled and will start nothing any more.
     Cancelled,
     /// There is no such job.
     Gone,
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     Waiting(u32),
-    /// The call is refused or failed.
+    /// The call was refused or failed.
     Refused(ErrorKind),
 }
 
-/// Answers callers.
+/// Handles the calls of callers.
 pub trait Frontend: Send + Sync {
-    /// Returns the queue of a call and whose call it is, or why it is not let in.
+    /// Returns the queue and customer of a call, or why it is not admitted.
     fn admit<'a>(
         &'a self,
         host: &'a str,
@@ -77,14 +78,15 @@
     /// Returns the answer to a call.
     fn call(&self, call: Call) -> BoxFuture<'_, Answer>;
 
-    /// Returns after how many seconds a caller should come back that is refused for this reason, if that helps.
+    /// Returns after how many seconds a caller that was refused for this reason should retry, if a
+    /// retry may help.
     fn retry_after(&self, kind: ErrorKind) -> Option<u32> {
         kind.answer().retry_after
     }
 
-    /// Returns the longest body that is accepted, in bytes.
+    /// Returns the maximum size of a body, in bytes.
     fn body_limit(&self) -> usize;
 
-    /// Tells whether the process should get new callers.
+    /// Returns whether the process should get new callers.
     fn is_ready(&self) -> bool;
 }
--- a/reachhead_jobs/src/ports/feed.rs
+++ b/reachhead_jobs/src/ports/feed.rs
@@ -1,4 +1,4 @@
-//! Tables of the store that are followed.
+//! Change feeds of store tables.
 
 use futures::future::BoxFuture;
 use reachhead_store::{StoreError, row::Row};
@@ -6,45 +6,45 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A row that changed, or is gone.
+/// A row that was written or deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The row; of one that is gone, the value means nothing.
+    /// The row; its value is meaningless if it was deleted.
     pub row: Row,
     /// The row was deleted.
     pub deleted: bool,
 }
 
-/// What a feed told.
+/// Changes of a table up to a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedPage {
-    /// The changes in their order.
+    /// Changes in order.
     pub changes: Vec<Change>,
-    /// From where to go on.
+    /// Revision from which the feed continues.
     pub revision: Revision,
 }
 
-/// Why a feed can't go on.
+/// Why a feed can't continue.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FeedError {
-    /// Changes are missing; the whole table has to be read.
-    #[error("the store has forgotten the changes since then")]
+    /// Changes are missing, and the whole table has to be read.
+    #[error("the store no longer has the changes since that revision")]
     Forgotten,
-    /// The call failed.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// The store's tables as followers see them.
+/// Store tables that can be followed.
 pub trait TableFeed: Send + Sync {
-    /// Returns all rows of a table, and a revision from which the feed goes on.
+    /// Returns all rows of a table, and the revision from which its feed continues.
     ///
     /// # Errors
     ///
     /// Any [`StoreError`].
     fn table(&self, table: &'static str) -> BoxFuture<'_, Result<FeedPage, StoreError>>;
 
-    /// Waits for changes of a table after `revision`, at most `wait`.
+    /// Waits up to `wait` for changes of a table after `revision`.
     ///
     /// # Errors
     ///
--- a/reachhead_jobs/src/ports/hosts.rs
+++ b/reachhead_jobs/src/ports/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's hosts: their list, and orders about them.
+//! Hosts of the platform: their list, and orders for them.
 
 use futures::future::BoxFuture;
 use reachhead_types::id::{HostId, PoolName, WaveName, WorkerId, ZoneName};
@@ -6,7 +6,7 @@
 
 use crate::authority::OrderPermit;
 
-/// What a host is doing.
+/// State of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformHostState {
     /// It is up.
@@ -19,45 +19,45 @@
     Down,
 }
 
-/// A host on the platform's list.
+/// A host in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformHost {
-    /// The host.
+    /// Host id.
     pub host: HostId,
-    /// Its pool.
+    /// Pool of the host.
     pub pool: PoolName,
-    /// The availability zone where it stands, if the list says so.
+    /// Availability zone, if the list has it.
     pub zone: Option<ZoneName>,
-    /// What it is doing.
+    /// State of the host.
     pub state: PlatformHostState,
-    /// The life of its worker, if it has one.
+    /// Incarnation of its worker, if it has one.
     pub worker: Option<WorkerId>,
 }
 
-/// Why an order for a host was not taken.
+/// Why an order for a host was rejected or has no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HostOrderError {
-    /// Somebody else has given orders for it with a higher token.
+    /// Another process has given orders for the host with a higher token.
     #[error("fenced")]
     Fenced,
-    /// It is not up, or it is leaving.
+    /// The host is not up, or it is leaving.
     #[error("busy")]
     Busy,
-    /// It does not belong to the wave.
-    #[error("not of that wave")]
+    /// The host does not belong to the wave.
+    #[error("host does not belong to the wave")]
     Foreign,
     /// There is no such host, or it can't be in that pool.
     #[error("no such host or pool")]
     Unknown,
     /// Nothing was done; a retry may help.
-    #[error("not taken: {0}")]
+    #[error("order not carried out: {0}")]
     NotDone(String),
-    /// There is no answer; it may have been done.
+    /// No answer arrived; the order may have been carried out.
     #[error("no answer: {0}")]
     Lost(String),
 }
 
-/// The platform's hosts.
+/// Operations on the platform's hosts.
 pub trait HostApi: Send + Sync {
     /// Returns all hosts.
     ///
@@ -66,7 +66,7 @@
     /// Any [`HostOrderError`].
     fn list(&self) -> BoxFuture<'_, Result<Vec<PlatformHost>, HostOrderError>>;
 
-    /// Puts a host under the maintenance of a wave; everything on it ends at once.
+    /// Starts the maintenance of a host for a wave; everything running on it ends at once.
     ///
     /// # Errors
     ///
@@ -78,7 +78,7 @@
         wave: WaveName,
     ) -> BoxFuture<'_, Result<(), HostOrderError>>;
 
-    /// Moves a host to another pool; everything on it ends at once.
+    /// Moves a host to another pool; everything running on it ends at once.
     ///
     /// # Errors
     ///
--- a/reachhead_jobs/src/ports/mod.rs
+++ b/reachhead_jobs/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! What the product needs of the platform that it runs on, as traits: one file a port.
+//! Interfaces to the platform, as traits: one file for each port.
 
 mod advice;
 mod caller;
--- a/reachhead_jobs/src/ports/operators.rs
+++ b/reachhead_jobs/src/ports/operators.rs
@@ -1,4 +1,4 @@
-//! What operators and workers write to the store.
+//! Rows that operators and workers write to the store.
 
 use reachhead_store::row::{Key, Row, Write};
 use reachhead_types::id::{WaveName, WorkerId, ZoneName};
@@ -7,57 +7,57 @@
 use super::WorkerInfo;
 use crate::{model::Configuration, wave::WaveOrder};
 
-/// What operators wrote.
+/// A row written by operators.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorRow {
-    /// The newest configuration.
+    /// The configuration.
     Configuration(Configuration),
-    /// A wave.
+    /// A maintenance wave.
     Wave(WaveOrder),
-    /// Nothing is to be started in this zone for as long as the row is there.
+    /// Drain of a zone: nothing is started there while the row exists.
     ZoneDrain(ZoneName),
-    /// Something that is not for this system.
+    /// A row that does not concern this system.
     Other,
 }
 
-/// A row that can't be understood.
+/// A row that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("row {key}: {reason}")]
 pub struct RowError {
-    /// The row.
+    /// Key of the row.
     pub key: Key,
     /// What is wrong.
     pub reason: String,
 }
 
-/// How operators and workers write their rows in the platform's store.
+/// Format of the operators' and workers' rows in the platform's store.
 pub trait RowFormat: Send + Sync {
-    /// Returns the table that operators write.
+    /// Returns the name of the operators' table.
     fn operator_table(&self) -> &'static str;
 
-    /// Returns the table in which workers register.
+    /// Returns the name of the table in which workers register.
     fn worker_table(&self) -> &'static str;
 
-    /// Returns what a row of operators says.
+    /// Parses a row of the operators' table.
     ///
     /// # Errors
     ///
-    /// A [`RowError`] if it can't be understood.
+    /// A [`RowError`] if the row can't be parsed.
     fn operator_row(&self, row: &Row) -> Result<OperatorRow, RowError>;
 
-    /// Returns the zone that the row with this key drains, whatever the row says.
+    /// Returns the zone drained by the row with this key, regardless of the row's value.
     fn drained_zone(&self, key: &Key) -> Option<ZoneName>;
 
-    /// Returns the worker that a row registers.
+    /// Parses a worker's registration.
     ///
     /// # Errors
     ///
-    /// A [`RowError`] if it can't be understood.
+    /// A [`RowError`] if the row can't be parsed.
     fn worker_row(&self, row: &Row) -> Result<WorkerInfo, RowError>;
 
     /// Returns the worker whose registration has this key.
     fn worker_of(&self, key: &Key) -> Option<WorkerId>;
 
-    /// Returns the row that tells operators how far a wave is.
+    /// Returns the row that shows a wave's progress to operators.
     fn wave_status(&self, wave: &WaveName, completed: bool) -> Write;
 }
--- a/reachhead_jobs/src/ports/worker.rs
+++ b/reachhead_jobs/src/ports/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: what they tell of themselves, and orders to them.
+//! Workers: registration, reports, and orders to them.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -13,86 +13,88 @@
 
 use crate::{clock::WorkerTime, task::TaskId};
 
-/// A worker, as it registered itself.
+/// Registration of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// The worker; it may start again under the id that it had.
+    /// Worker id; a worker may restart under the same id.
     pub id: WorkerId,
-    /// When this life of it began, in milliseconds since 1970, if it says so.
+    /// Start of this incarnation, in milliseconds since 1970, if known.
     #[serde(rename = "born")]
     pub started_at: Option<Millis>,
-    /// The pool that it belongs to.
+    /// Pool of the worker.
     pub pool: PoolName,
-    /// Where it answers.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Availability zone of the worker.
     pub zone: ZoneName,
-    /// What it bears.
+    /// Capacity of the worker.
     pub capacity: Amount,
-    /// Its labels.
+    /// Labels.
     pub labels: Vec<Label>,
-    /// Its rack, which is one of the labels.
+    /// Rack, which is one of the labels.
     pub rack: Option<Label>,
-    /// It will leave and must get nothing new.
+    /// The worker is leaving and must get nothing new.
     pub draining: bool,
 }
 
-/// Why a worker does not run a task.
+/// Why a worker rejected an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
     /// Another owner of the pool has given orders with a higher token.
     Fenced,
-    /// The run is not higher than one that was stopped or ended there.
+    /// The run's number is not higher than that of a run that was stopped or ended there.
     Old,
     /// The deadline had passed.
     Late,
-    /// There is no room.
+    /// Free capacity does not suffice.
     Room,
-    /// The ticket does not hold.
+    /// The ticket is not valid.
     Ticket,
     /// The worker is unhealthy and did nothing.
     Unhealthy,
-    /// The worker did not understand the order.
+    /// The worker could not parse the order.
     Malformed,
 }
 
-/// Why a call to a worker gave no result.
+/// Why a call to a worker has no result.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WorkerError {
     /// No connection could be made, so nothing was done.
     #[error("no connection: {0}")]
     Unreachable(String),
-    /// The worker's host answers that nobody listens there, so nothing was done.
-    #[error("nobody there: {0}")]
+    /// The worker's host refused the connection, as nothing listens at the address; nothing was
+    /// done.
+    #[error("nothing listens at the address: {0}")]
     PortClosed(String),
-    /// There is no answer; the call may have been carried out, or still may be.
+    /// No answer arrived; the call may have been carried out, or still may be.
     #[error("no answer: {0}")]
     Lost(String),
-    /// The connection ended without an answer: the call was carried out before that or never.
-    #[error("no answer, the connection ended: {0}")]
+    /// The connection ended without an answer; the call was carried out before that or never will
+    /// be.
+    #[error("connection closed without an answer: {0}")]
     Broken(String),
-    /// Another life of a worker answers at the address: the one that was meant is over.
-    #[error("another worker answers there")]
+    /// Another incarnation answers at the address, so the intended one has ended.
+    #[error("another incarnation of the worker answers at the address")]
     Replaced,
-    /// The worker answered that it did not do it.
+    /// The worker answered that it rejects the call.
     #[error("rejected: {0:?}")]
     Rejected(Rejection),
 }
 
-/// An order to run a task.
+/// Order to start a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub run: RunNumber,
-    /// What to run.
+    /// Payload of the job.
     pub payload: Arc<str>,
-    /// Until when everything on the worker is held, on the worker's clock.
+    /// Lease deadline of everything on the worker, on the worker's clock.
     pub deadline: WorkerTime,
-    /// Where to resume.
+    /// Checkpoint to resume from.
     pub checkpoint: Option<String>,
-    /// Why the worker may run it, where that is decided elsewhere.
+    /// Ticket, where an external service decides which workers may run the step.
     pub ticket: Option<String>,
 }
 
@@ -101,87 +103,87 @@
 pub enum RunEnd {
     /// The task is done.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped by an order.
+    /// Stopped by an order.
     Stopped,
-    /// Its lease lapsed.
+    /// The worker's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another task of its gang ended.
     Broken,
-    /// It waited too long for the other members of its gang.
+    /// It waited too long for the other tasks of its gang.
     Alone,
 }
 
-/// A run that works.
+/// A run that is active on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningEntry {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub run: RunNumber,
-    /// Its newest checkpoint.
+    /// Latest checkpoint.
     pub checkpoint: Option<String>,
-    /// How much of it is done, in percent; of a task that runs on, how far it has started.
+    /// Progress in percent; of a long-running task, the progress of its startup.
     pub percent: u32,
-    /// For a task that serves users, the tail of its response times in milliseconds; for any other
-    /// the thousandths of a core that it used lately.
+    /// For a latency-sensitive task, the tail of its response times in milliseconds; for any other
+    /// task, its recent processor usage in thousandths of a core.
     pub metric: u64,
 }
 
-/// A run that ended.
+/// A run that ended on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedEntry {
-    /// The end's number in this life of the worker.
+    /// Number of the end within this incarnation of the worker.
     pub number: u64,
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub run: RunNumber,
     /// How it ended.
     pub end: RunEnd,
-    /// Its last checkpoint.
+    /// Last checkpoint.
     pub checkpoint: Option<String>,
 }
 
-/// What a worker says of itself.
+/// Report of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// When this life of it began, in milliseconds since 1970, if it says so.
+    /// Start of this incarnation, in milliseconds since 1970, if known.
     pub started_at: Option<Millis>,
-    /// What its clock showed.
+    /// Time on the worker's clock.
     pub clock: WorkerTime,
-    /// What works there.
+    /// Active runs.
     pub running: Vec<RunningEntry>,
-    /// What ended there and was not acknowledged.
+    /// Ends that were not acknowledged.
     pub ended: Vec<EndedEntry>,
 }
 
-/// A call that renews the lease of a worker's runs and asks for its report.
+/// Heartbeat: renews the lease of all runs of a worker and returns its report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HoldOrder {
-    /// Until when everything on the worker is held, on its clock; `None` while that isn't known.
+    /// Lease deadline on the worker's clock; `None` while that clock is unknown.
     pub deadline: Option<WorkerTime>,
-    /// Ends up to this number are recorded, and the worker may forget them.
+    /// Ends up to this number are stored, and the worker may forget them.
     pub acknowledged: u64,
     /// How long the worker may wait for an end before it answers.
     pub wait: Millis,
 }
 
-/// The worker that a call is meant for.
+/// Target of a call to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerTarget {
-    /// The life of the worker.
+    /// Id of the incarnation.
     pub id: WorkerId,
-    /// Where it answers.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// The caller's fencing token.
+    /// Fencing token of the caller.
     pub token: FencingToken,
 }
 
-/// The agent on each worker.
+/// Calls to the agent on each worker.
 pub trait WorkerAgent: Send + Sync {
-    /// Starts a run; also `Ok` if that run is already there.
+    /// Starts a run; succeeds also if that run is already there.
     ///
     /// # Errors
     ///
@@ -192,7 +194,7 @@
         order: StartOrder,
     ) -> BoxFuture<'_, Result<WorkerTime, WorkerError>>;
 
-    /// Stops a run and bars it for good.
+    /// Stops a run and prevents it from ever starting there.
     ///
     /// # Errors
     ///
@@ -215,7 +217,7 @@
         order: HoldOrder,
     ) -> BoxFuture<'_, Result<WorkerReport, WorkerError>>;
 
-    /// Lets a run work at this share, in percent.
+    /// Limits a run to this processor share, in percent.
     ///
     /// # Errors
     ///
