--- a/reachhead_jobs/src/authority.rs
+++ b/reachhead_jobs/src/authority.rs
@@ -1,8 +1,9 @@
-//! For how long the holder of a lease may give orders that nobody checks a fencing token of.
+//! Leases for orders to a platform that may not check fencing tokens.
 //!
-//! Where the platform refuses lower tokens, an order of a holder that was paused does no harm. Where it does not, two
-//! processes must never order at the same time: the holder orders only for [`ORDER_WINDOW`] after it asked the store
-//! and found its lease in force, and its successor waits for as long after it took the lease.
+//! Where the platform rejects lower tokens, an order of a paused holder does no harm. Where it does
+//! not, two processes must never give orders at the same time. So the holder gives orders only
+//! within [`ORDER_WINDOW`] after it asked the store and found its lease in force, and a successor
+//! waits for as long after it took the lease.
 
 use reachhead_types::{
     boot_instant::BootInstant,
@@ -14,94 +15,102 @@
     record::LeaseRecord,
 };
 
-/// How long the holder may give orders after it asked the store. It takes a question to the store and an order, also
-/// while the store is slow, and it is what the hosts stand still for when their owner is killed.
+/// How long the holder may give orders after it asked the store. It covers a request to the store
+/// and an order, also while the store is slow. Hosts make no progress for this long when their
+/// owner is killed.
 pub const ORDER_WINDOW: Millis = Millis(700);
 
-/// How lately the question must have been sent for orders to go out on its answer; the rest of the term is the orders'
-/// own. A slow store answers within it.
-const FRESH_TERM: Millis = Millis(450);
+/// Oldest request whose answer still permits new orders; the rest of the window is for the orders
+/// themselves. A slow store answers within it.
+const MAX_CONFIRMATION_AGE: Millis = Millis(450);
 
-/// How long a process that answers without the lease must have had it to be taken for over: it answers so for a
-/// moment, too, between the store's answer and the start of its work.
-const SETTLED_TIME: Millis = Millis(1000);
+/// How long after taking the lease a process that denies holding it counts as dead or restarted. It
+/// also denies it for a moment between the store's answer and the start of its work.
+const MIN_SETTLED_TIME: Millis = Millis(1000);
 
-/// What an order is given on.
+/// Permission to give an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderPermit {
-    /// The holder's fencing token.
+    /// Fencing token of the holder.
     pub token: FencingToken,
-    /// No byte of the order leaves the process after this; `None` where tokens are checked.
+    /// Deadline for sending the order, after which no byte of it leaves the process; `None` where
+    /// tokens are checked.
     pub until: Option<BootInstant>,
 }
 
-/// The store's last word that the lease is in force.
+/// The store's latest confirmation that the lease is in force.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeaseConfirmation {
-    /// When the question was sent: the lease may have been taken right after the store answered it.
+    /// When the request was sent: the lease may have been taken by another right after the store
+    /// answered it.
     asked: Option<BootInstant>,
 }
 
 impl LeaseConfirmation {
-    /// Notes the store's answer to a question that was sent at `asked`; tells whether the lease is in force.
+    /// Records the store's answer to a request that was sent at `asked`; returns whether the lease
+    /// is in force.
     pub fn record(
         &mut self,
         asked: BootInstant,
         found: Option<Revision>,
         token: FencingToken,
     ) -> bool {
-        let held = found == Some(Revision(token.0));
-        self.asked = held.then_some(asked);
-        held
+        let is_held = found == Some(Revision(token.0));
+        self.asked = is_held.then_some(asked);
+        is_held
     }
 
-    /// Returns until when orders may go out, or `None` if the store has to be asked first.
+    /// Returns the deadline for orders, or `None` if the store has to be asked first.
     pub fn until(&self, now: BootInstant) -> Option<BootInstant> {
         let asked = self.asked?;
-        let fresh = now.duration_since(asked) <= FRESH_TERM.duration();
-        fresh.then(|| asked + ORDER_WINDOW.duration())
+        let is_fresh = now.duration_since(asked) <= MAX_CONFIRMATION_AGE.duration();
+        is_fresh.then(|| asked + ORDER_WINDOW.duration())
     }
 }
 
-/// What a successor knows of the holder before it.
+/// The previous holder of a lease, as a successor sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct PreviousHolder<'a> {
-    /// The lease as it was.
+    /// Lease record of the previous holder.
     pub record: &'a LeaseRecord,
-    /// When this process first saw it so.
+    /// When this process first saw that record.
     pub since: Tick,
-    /// This process saw it change to that, and did not find it so when it started.
+    /// This process saw the lease change to that record, and did not find it at its start.
     pub observed: bool,
     /// The holder was this process, now or before a restart.
     pub is_self: bool,
-    /// When the holder last said that it does not hold the lease, if it did.
+    /// When the holder last said that it does not hold the lease, if ever.
     pub disclaimed_at: Option<Tick>,
 }
 
 impl PreviousHolder<'_> {
-    /// Returns how long after its lease is stored the successor gives no order, where tokens are checked or not.
+    /// Returns how long the successor gives no orders after its lease is stored, depending on
+    /// whether tokens are checked.
     pub fn takeover_wait(&self, now: Tick, duty: Millis, checked: bool) -> Millis {
-        let overlap = if checked { Millis(0) } else { self.overlap_time() };
-        self.turn_time(now, duty).max(overlap)
+        let overlap = if checked { Millis(0) } else { self.overlap_wait() };
+        self.alternation_wait(now, duty).max(overlap)
     }
 
-    /// Two that take charge from each other in turns must not act within the time of the duty. A holder that gave up,
-    /// was killed or is cut off acts no more, so one that was in charge for long is not waited for. Nor is one whose
-    /// lease this process found when it started, since it can't have been in charge shortly before that one: hosts
-    /// would stand still for three seconds after each restart of all processes.
-    fn turn_time(&self, now: Tick, duty: Millis) -> Millis {
+    /// Returns the wait that keeps two processes that take the lease from each other from both
+    /// acting within the time of the duty. A holder that gave up, was killed or is partitioned does
+    /// not act any more, so there is no wait for one that is_held the lease for long. Nor is there one
+    /// if this process found the lease at its start, since the process itself can't have is_held it
+    /// shortly before; otherwise hosts would make no progress for three seconds after each restart
+    /// of all processes.
+    fn alternation_wait(&self, now: Tick, duty: Millis) -> Millis {
         if !self.observed {
             return Millis(0);
         }
         Millis(duty.0.saturating_sub(now.since(self.since).0))
     }
 
-    /// Orders of the holder may leave until its last answer of the store is too old. One that gave the lease back has
-    /// no order under way; one that answers without the lease, long after it took it, has ended or was started again.
-    fn overlap_time(&self) -> Millis {
-        let ended =
-            self.disclaimed_at.is_some_and(|denied| denied.since(self.since) >= SETTLED_TIME);
-        if self.record.owner.is_none() || self.is_self || ended {
+    /// Returns the wait until the holder's last confirmation is too old for further orders. A
+    /// holder that released the lease has no order in flight; one that denies holding it, long
+    /// after it took it, has has_ended or was restarted.
+    fn overlap_wait(&self) -> Millis {
+        let has_ended =
+            self.disclaimed_at.is_some_and(|denied| denied.since(self.since) >= MIN_SETTLED_TIME);
+        if self.record.owner.is_none() || self.is_self || has_ended {
             return Millis(0);
         }
         with_drift(ORDER_WINDOW)
--- a/reachhead_jobs/src/crashes.rs
+++ b/reachhead_jobs/src/crashes.rs
@@ -1,28 +1,29 @@
-//! What crashes of workers say of a task that was there.
+//! Attributes crashes of workers to tasks that were running there.
 //!
-//! A worker that crashes reports no end, so whether one of its tasks is the cause has to be told by which were there. Most of them
-//! run to their ends elsewhere; one that crashes whoever starts it would take a pool down worker by worker. A task that may be the
-//! cause is started where nothing else is just being started, and nothing is started beside it until it has begun to work: a crash
-//! until then is its own and no other's, and one report clears those that are not the cause. docs/PLATFORM.md, "Tasks that crash their
-//! workers", has the rules.
+//! A worker that crashes reports no ends, so the cause has to be inferred from the tasks that were
+//! there. Most of them run to their ends elsewhere, while one that crashes every worker would take
+//! a pool down worker by worker. So a task that may be the cause is put on trial: it starts where
+//! no other task is just starting, and nothing is started beside it until it has begun to work. A
+//! crash until then can only be its own, and one report clears tasks that are not the cause.
+//! docs/PLATFORM.md has the rules in "Tasks that crash their workers".
 
 use serde::{Deserialize, Serialize};
 
-/// Crashes after which a task may be given up, if enough of them are its own: one may be chance, and a second one in the same
-/// bad minute.
-const CRASHES_LEAST: u32 = 3;
+/// Crashes after which a task may be given up if enough of them are its own: one may be chance, and
+/// a second one may come from the same incident.
+const MIN_CRASHES: u32 = 3;
 
-/// Crashes of its own that a task is given up for.
-const OWN_LEAST: u32 = 2;
+/// Crashes of its own for which a task is given up.
+const MIN_OWN_CRASHES: u32 = 2;
 
-/// Crashes after which a task is given up whoever else was there: it costs the pool a worker each time, and a task that ends a
-/// worker late in its run is never the only one that just began.
-const CRASHES_MOST: u32 = 5;
+/// Crashes after which a task is given up whatever else was there. Each costs the pool a worker,
+/// and a task that crashes workers late in its runs is never the only one that was starting.
+const MAX_CRASHES: u32 = 5;
 
-/// The part that a task had in a crash.
+/// Role of a task in a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashRole {
-    /// It had begun to work before, as all others there had.
+    /// It had begun to work before, as had all others there.
     Bystander,
     /// It was one of several that had not begun to work.
     Fresh,
@@ -30,45 +31,46 @@
     Own,
 }
 
-/// The crashes of workers under a task.
+/// Crash counters of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Crashes {
-    /// All of them.
+    /// Crashes of workers that had the task.
     pub total: u32,
-    /// Those before it had begun to work.
+    /// Crashes before the task had begun to work.
     pub fresh: u32,
-    /// Those of which no other task can be the cause.
+    /// Crashes that no other task can have caused.
     pub own: u32,
 }
 
 impl Crashes {
-    /// Notes a crash.
+    /// Counts a crash.
     pub fn record(&mut self, role: CrashRole) {
         self.total += 1;
         self.fresh += u32::from(role != CrashRole::Bystander);
         self.own += u32::from(role == CrashRole::Own);
     }
 
-    /// Tells whether there were none.
+    /// Returns whether there were no crashes.
     pub fn is_empty(&self) -> bool {
         self.total == 0
     }
 
-    /// Tells whether the task may be the cause, so that it is tried where nothing else is just being started. To have been at
-    /// work on one worker that crashed says next to nothing.
+    /// Returns whether the task may be the cause, so that it is put on trial. Having been at work
+    /// on one worker that crashed says next to nothing.
     pub fn is_suspect(&self) -> bool {
         self.fresh > 0 || self.total > 1
     }
 
-    /// Tells whether the task may crash workers late in its runs, so that nothing is started beside it as long as it runs: fewer
-    /// others are lost with it. That it was there is no proof, since hosts may go down by turns.
+    /// Returns whether the task may crash workers late in its runs. Nothing is started beside it
+    /// while it runs, so that fewer others are lost with it. This is no proof, since hosts may also
+    /// go down in turn.
     pub fn is_late(&self) -> bool {
         self.total.saturating_sub(self.fresh) > 1
     }
 
-    /// Tells whether the task is most certainly the cause, so that it is given up.
+    /// Returns whether the task is almost certainly the cause, so that it is given up.
     pub fn is_conclusive(&self) -> bool {
-        let own = self.total >= CRASHES_LEAST && self.own >= OWN_LEAST;
-        own || self.total >= CRASHES_MOST
+        let own = self.total >= MIN_CRASHES && self.own >= MIN_OWN_CRASHES;
+        own || self.total >= MAX_CRASHES
     }
 }
--- a/reachhead_jobs/src/dead_workers.rs
+++ b/reachhead_jobs/src/dead_workers.rs
@@ -1,9 +1,10 @@
-//! Which lives of workers are over.
+//! Determines which worker incarnations are dead.
 //!
-//! A worker that is cut off runs on, so silence proves nothing, nor does a missing registration. Two words together
-//! do: its host answered that nobody listens there, and the platform's list of hosts, read after that, has no host
-//! with that life. A worker that an owner lost by a crash of its own, a move or maintenance is known as over by that
-//! within a round, where else its leases would be waited out and no host of the pool be given away meanwhile.
+//! A partitioned worker runs on, so neither silence nor a missing registration proves its death.
+//! Two facts together do: its host answered that nothing listens at its address, and the platform's
+//! list of hosts, read after that, has no host with this incarnation. Workers lost by a crash, a
+//! move or maintenance are thereby known to be dead within a round. Otherwise the owner would have
+//! to wait for their leases to expire, and no host of the pool could be given away meanwhile.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,16 +12,17 @@
 
 use crate::ports::PlatformHost;
 
-/// A worker of a pool that nobody answers for.
+/// A worker of a pool at whose address nothing listens.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnreachableWorker {
-    /// The pool that may have used it.
+    /// Pool that may have used it.
     pub pool: PoolName,
-    /// The life.
+    /// Id of the incarnation.
     pub worker: WorkerId,
 }
 
-/// Returns those that no host has; `hosts` is a list that was read after their owners told of them.
+/// Returns the unreachable workers that no host has. `hosts` must have been read after the workers
+/// were reported unreachable.
 pub fn dead_workers<'a>(
     unreachable: &'a [UnreachableWorker],
     hosts: &BTreeMap<HostId, PlatformHost>,
--- a/reachhead_jobs/src/fence.rs
+++ b/reachhead_jobs/src/fence.rs
@@ -1,9 +1,10 @@
-//! Fencing a pool's parts of the store, one after the other.
+//! Fences the shards of a pool in the store, one after the other.
 //!
-//! A lease lives in one part of the store and the rows of the pool's jobs in others, and not every store takes a
-//! transaction over several parts. So each part has a fence row of its own: whoever takes the lease raises the
-//! fences to the lease's token, each in a transaction within its part, and every write of an owner in a part
-//! depends on the revision that its own raise gave the fence there. docs/PLATFORM.md lists what this keeps.
+//! A lease lives in one partition of the store and the rows of the pool's jobs in others, and not
+//! every store supports transactions across partitions. So each shard has a fence row of its own.
+//! The process that takes the lease raises each fence to the token of the lease, in a transaction
+//! within the shard. Every write of an owner in a shard checks the revision that its own raise gave
+//! the fence there. docs/PLATFORM.md lists the guarantees.
 
 use reachhead_store::{
     StoreError,
@@ -19,18 +20,19 @@
     shard::Shard,
 };
 
-/// What is to be done about the fence of a part.
+/// Next step in raising a fence.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FenceStep {
-    /// The fence is this owner's: rows that are read from now on are not changed by a predecessor any more.
+    /// The fence carries this owner's token: rows read from now on can't be changed by a
+    /// predecessor.
     Raised(Revision),
-    /// The transaction to send next.
+    /// Transaction to send next.
     Write(Txn),
-    /// A later owner has fenced the part.
+    /// A later owner has fenced the shard.
     Superseded,
 }
 
-/// A fence that is being raised.
+/// A fence that is being raised for an owner.
 #[derive(Debug, Clone)]
 pub struct Fence {
     pool: PoolName,
@@ -40,16 +42,16 @@
 }
 
 impl Fence {
-    /// Returns the fence of a part for the owner that holds the pool's lease with `token`.
+    /// Creates the fence of a shard for the owner that holds the pool's lease with `token`.
     pub const fn new(pool: PoolName, shard: Shard, token: FencingToken, owner: NodeName) -> Self {
         Self { pool, shard, token, owner }
     }
 
-    /// Returns what follows from the fence as it was just read, be it for the first time, after a conflict or after
-    /// an answer that was lost.
+    /// Returns the next step, given the fence row as just read: the first time, after a conflict,
+    /// or after a lost answer.
     ///
-    /// The transaction depends on exactly the row that was read. A copy of it that the store performs late is
-    /// refused once anybody, this owner included, has raised the fence.
+    /// The transaction depends on exactly the row that was read. A copy of it that the store
+    /// carries out late is rejected once any process, including this one, has raised the fence.
     ///
     /// # Errors
     ///
--- a/reachhead_jobs/src/task.rs
+++ b/reachhead_jobs/src/task.rs
@@ -1,4 +1,4 @@
-//! Names of tasks.
+//! Identifiers of tasks and steps.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -8,27 +8,27 @@
 use reachhead_types::id::{IdError, JobId};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A task: one of the equal parts of a step, in one occurrence of the job.
+/// A task: one of the identical parts of a step, in one occurrence of the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Job id.
     pub job: JobId,
-    /// Which repetition of the job; 0 for a job that runs once.
+    /// Occurrence of the job; 0 for a job that runs once.
     pub occurrence: u32,
-    /// The step's place in the job.
+    /// Index of the step in the job.
     pub step: u32,
-    /// The task's place in the step.
+    /// Index of the task in the step.
     pub index: u32,
 }
 
 /// A step in one occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepId {
-    /// The job.
+    /// Job id.
     pub job: JobId,
-    /// Which repetition.
+    /// Occurrence of the job.
     pub occurrence: u32,
-    /// The step's place in the job.
+    /// Index of the step in the job.
     pub step: u32,
 }
 
