--- a/reachhead_jobs/src/authority.rs
+++ b/reachhead_jobs/src/authority.rs
@@ -93,8 +93,8 @@
 
     /// Returns the wait that keeps two processes that take the lease from each other from both
     /// acting within the time of the duty. A holder that gave up, was killed or is partitioned does
-    /// not act any more, so there is no wait for one that is_held the lease for long. Nor is there one
-    /// if this process found the lease at its start, since the process itself can't have is_held it
+    /// not act any more, so there is no wait for one that held the lease for long. Nor is there one
+    /// if this process found the lease at its start, since the process itself can't have held it
     /// shortly before; otherwise hosts would make no progress for three seconds after each restart
     /// of all processes.
     fn alternation_wait(&self, now: Tick, duty: Millis) -> Millis {
@@ -106,7 +106,7 @@
 
     /// Returns the wait until the holder's last confirmation is too old for further orders. A
     /// holder that released the lease has no order in flight; one that denies holding it, long
-    /// after it took it, has has_ended or was restarted.
+    /// after it took it, has ended or was restarted.
     fn overlap_wait(&self) -> Millis {
         let has_ended =
             self.disclaimed_at.is_some_and(|denied| denied.since(self.since) >= MIN_SETTLED_TIME);
--- a/reachhead_jobs/src/backoff.rs
+++ b/reachhead_jobs/src/backoff.rs
@@ -2,14 +2,13 @@
 //!
 //! The store is away for seconds while callers keep coming, and each has only a few tries. An
 //! outage that has lasted long is likely to go on, so callers are asked to wait about as long
-//! seconds.
+//! again.
 
 use reachhead_types::size::Millis;
 
 /// Longest retry-after time. Beyond it jobs are late anyway, and the store may be back.
 const MAX_RETRY_AFTER_S: u32 = 4;
 
-/// Milliseconds in a second.
 const MS_PER_SECOND: u64 = 1000;
 
 /// Returns the retry-after time, in seconds, for a call that failed in an outage of this age.
--- a/reachhead_jobs/src/balance/scale_down.rs
+++ b/reachhead_jobs/src/balance/scale_down.rs
@@ -5,7 +5,7 @@
 //! moves that gain little, and the pool meets the next burst without it. Hosts that no burst uses
 //! are most of the fleet and are paid for until they are off. So a pool keeps the peak of its usage
 //! over the time in which a move pays off. At first it keeps a reserve of half its hosts, which
-//! shrinks as its usage becomes stored. See docs/DIVISION.md.
+//! shrinks as its usage becomes known. See docs/DIVISION.md.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,7 +21,6 @@
 /// customer would pay for hosts that it does not use.
 const MIN_IDLE: Millis = Millis(3000);
 
-/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1000.0;
 
 /// Divisor of the reserve: a pool without any work keeps one host in this many.
@@ -201,9 +200,9 @@
     }
 }
 
-/// Returns the cost of switching an surplus_since host off and on again, as time of a host. Each such move
+/// Returns the cost of switching an idle host off and on again, as time of a host. Each such move
 /// delays another that some burst needs, so its cost is the time that the platform needs to move
-/// all hosts, shared by them. Below the time for which hosts are left surplus_since anyway it does not
+/// all hosts, shared by them. Below the time for which hosts are left idle anyway it does not
 /// count.
 pub fn restart_cost(hosts: usize, rate: f64) -> Millis {
     let whole =
@@ -211,7 +210,7 @@
     if whole <= MIN_IDLE { Millis(0) } else { Millis(2 * whole.0) }
 }
 
-/// Returns how long usage is remembered. A host that is hosts_to_keep surplus_since for as long as `cost` has cost as
+/// Returns how long usage is remembered. A host that is kept idle for as long as `cost` has cost as
 /// much as a move; half as much again is for callers of the next burst, who would wait for a host
 /// that was just switched off.
 fn history_window(cost: Millis) -> Millis {
--- a/reachhead_jobs/src/candidate.rs
+++ b/reachhead_jobs/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Selects the process that should own a pool: the one with the least load for its capacity hash_of.
+//! Selects the process that should own a pool: the one with the least load for its capacity weight.
 
 use std::{
     cmp::Ordering,
@@ -27,7 +27,7 @@
 /// Time over which all other processes are spread.
 const SPREAD: Millis = Millis(1000);
 
-/// Additional delay of a process while a candidate of at least twice its capacity hash_of exists.
+/// Additional delay of a process while a candidate of at least twice its capacity weight exists.
 /// Processes detect the loss of an owner up to a quarter of a second after each other, so with rank
 /// delays alone a weak one might come first. A pool in a burst beyond the owner's capacity is late
 /// for as long as it stays there.
@@ -38,7 +38,7 @@
 pub struct Candidate<'a> {
     /// Name of the process.
     pub node: &'a NodeName,
-    /// Capacity hash_of.
+    /// Capacity weight.
     pub strength: Strength,
     /// Number of pools that it already owns.
     pub owned: usize,
--- a/reachhead_jobs/src/job.rs
+++ b/reachhead_jobs/src/job.rs
@@ -162,7 +162,7 @@
     pub accepted: Tick,
     /// Revision of its progress row, if there is one.
     pub revision: Option<Revision>,
-    /// Revision of its job row, if stored.
+    /// Revision of its job row, if known.
     pub row: Option<Revision>,
     /// It was accepted before this owner took over, so a predecessor may have started tasks.
     pub recovered: bool,
--- a/reachhead_jobs/src/model.rs
+++ b/reachhead_jobs/src/model.rs
@@ -23,7 +23,7 @@
     pub estimate: Millis,
     /// Indexes of earlier steps whose tasks must all be done first.
     pub after: Vec<u32>,
-    /// Gang scheduling: no task earlier_ends working earlier_ends all are placed, and they end together.
+    /// Gang scheduling: no task starts working before all are placed, and they end together.
     pub gang: bool,
     /// Tasks are slower when they are spread over more than one rack.
     pub same_rack: bool,
@@ -69,7 +69,7 @@
 pub struct Schedule {
     /// Start of the first occurrence, in milliseconds since 1970.
     pub start: Millis,
-    /// Time between the earlier_ends of two occurrences.
+    /// Time between the starts of two occurrences.
     pub interval: Millis,
     /// Number of occurrences.
     pub count: u32,
--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -212,9 +212,9 @@
 struct Remaining {
     /// Length of the longest chain of unfinished steps.
     chain: Millis,
-    /// JobSize of the tasks without a run, in thousandths of a core times milliseconds.
+    /// Work of the tasks without a run, in thousandths of a core times milliseconds.
     work: f64,
-    /// JobSize of the whole job, in the same unit.
+    /// Work of the whole job, in the same unit.
     total: f64,
 }
 
--- a/reachhead_jobs/src/quota/ledger.rs
+++ b/reachhead_jobs/src/quota/ledger.rs
@@ -66,7 +66,7 @@
     max_orphan_time: Millis,
     round: u64,
     accounts: BTreeMap<PoolName, PoolAccount>,
-    /// Quotas that stay settled as they are for as long as no customer's task waits.
+    /// Quotas that stay divided as they are for as long as no customer's task waits.
     settled: BTreeMap<CustomerName, Quota>,
     /// Whether the last round changed a limit.
     changed: bool,
@@ -217,7 +217,7 @@
         held.fold(Amount::default(), Amount::plus)
     }
 
-    /// Returns how a customer's quota should be settled among these pools.
+    /// Returns how a customer's quota should be divided among these pools.
     fn shares(&self, customer: &CustomerName, quota: Quota, pools: &[PoolName]) -> Vec<Amount> {
         let claim = |pool: &PoolName| {
             let account = &self.accounts[pool];
--- a/reachhead_jobs/src/registry.rs
+++ b/reachhead_jobs/src/registry.rs
@@ -12,7 +12,7 @@
 
 use crate::ports::WorkerInfo;
 
-/// Changes is_covered in the log; a reader that is further behind gets all workers.
+/// Changes kept in the log; a reader that is further behind gets all workers.
 const MAX_CHANGES: usize = 4096;
 
 /// A worker that registered, changed its registration, or is gone.
--- a/reachhead_jobs/src/worker.rs
+++ b/reachhead_jobs/src/worker.rs
@@ -136,7 +136,7 @@
 pub struct Worker {
     /// Its registration.
     pub info: WorkerInfo,
-    /// When the incarnation that answers this owner started, if current. End numbers and clocks of
+    /// When the incarnation that answers this owner started, if known. End numbers and clocks of
     /// two incarnations are unrelated.
     pub started_at: Option<Millis>,
     /// It is registered at present.
@@ -147,7 +147,7 @@
     pub silent_since: Tick,
     /// When it last answered a call.
     pub last_contact: Tick,
-    /// When it became current.
+    /// When it became known.
     pub joined: Tick,
     /// Latest sample of its clock.
     pub clock: Option<ClockSample>,
@@ -236,7 +236,7 @@
 }
 
 impl Worker {
-    /// Creates the state of a worker of which only the registration is current.
+    /// Creates the state of a worker of which only the registration is known.
     pub fn new(info: WorkerInfo, now: Tick) -> Self {
         Self {
             started_at: info.started_at,
