--- a/reachhead_jobs/tests/quota/main.rs
+++ b/reachhead_jobs/tests/quota/main.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
-mod site;
+mod simulation;
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use reachhead_plan::amount::Amount;
 use reachhead_types::size::{FencingToken, Millis};
 
-use self::site::{POOLS, Site, customer, customers, pool};
+use self::simulation::{POOLS, Site, customer, customers, pool};
 
 /// Walks that are played, and steps of each.
 const WALKS: u64 = 400;
--- a/reachhead_jobs/tests/walk/main.rs
+++ b/reachhead_jobs/tests/random_schedules/main.rs
@@ -3,11 +3,11 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
-mod site;
+mod simulation;
 
 use reachhead_property::check;
 
-use crate::site::Site;
+use crate::simulation::Site;
 
 /// Walks; a mistake that needs a late order and a change of hands is met in some tens of them.
 const WALKS: u64 = 300;
--- a/reachhead_jobs/tests/walk/site.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation.rs
@@ -29,7 +29,7 @@
 
 use reachhead_site::life::{Deed, Life, Nature};
 
-mod judge;
+mod invariants;
 mod messages;
 mod plans;
 mod takeover;
