--- a/reachhead_jobs/tests/authority.rs
+++ b/reachhead_jobs/tests/authority.rs
@@ -1,4 +1,4 @@
-//! The leases of duties whose tokens nobody checks.
+//! Tests of leases for orders to a platform that does not check fencing tokens.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -29,7 +29,7 @@
 
 const DUTY: Millis = Millis(3000);
 
-/// A holder that this process found when it started.
+/// Returns a previous holder whose lease this process found at its start.
 fn found(record: &LeaseRecord) -> PreviousHolder<'_> {
     PreviousHolder {
         record,
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn orders_go_out_only_on_an_answer_that_names_the_own_token() {
+fn orders_need_a_confirmation_with_the_own_token() {
     let asked = BootInstant::now();
     let mut confirmation = LeaseConfirmation::default();
     assert_eq!(confirmation.until(asked), None);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_holder_that_was_frozen_after_an_answer_has_to_ask_again() {
+fn a_paused_holder_must_confirm_its_lease_again() {
     let asked = BootInstant::now();
     let mut confirmation = LeaseConfirmation::default();
     confirmation.record(asked, Some(Revision(16)), TOKEN);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_successor_waits_unless_the_holder_has_surely_ended() {
+fn a_successor_waits_unless_the_holder_has_certainly_ended() {
     let (held, returned) = (lease(Some("n")), lease(None));
     let whole = with_drift(ORDER_WINDOW);
     let denied = |at| PreviousHolder { disclaimed_at: Some(Tick(at)), ..found(&held) };
@@ -85,7 +85,7 @@
     );
 }
 
-/// All processes lose power and come back: moves of hosts must not stand still while jobs wait.
+/// All processes lose power and come back: moves of hosts must not wait while jobs do.
 #[test]
 fn a_restarted_process_does_not_wait_for_a_lease_of_unknown_age() {
     let held = lease(Some("n"));
@@ -99,8 +99,8 @@
     );
 }
 
-/// A holder that asks at any moments and a successor whose lease is stored at any moment: as the store answers in
-/// order, the holder's last good answer comes before that.
+/// A holder that asks the store at any time and a successor whose lease is stored at any time. The
+/// store answers in order, so the holder's last confirmation precedes the successor's lease.
 #[test]
 fn no_order_of_a_holder_leaves_after_the_first_one_of_its_successor() {
     fn holds((asked, travel, taken, answer): (u16, u8, u16, u8)) -> bool {
--- a/reachhead_jobs/tests/progress.rs
+++ b/reachhead_jobs/tests/progress.rs
@@ -1,4 +1,4 @@
-//! What is recorded of a job's progress, and what a successor reads of it.
+//! Tests of the persisted progress of jobs.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -15,11 +15,11 @@
 use reachhead_types::{id::JobId, size::Millis};
 use serde_json::json;
 
-/// Bytes that a row of the store may have.
-const ROW_BYTES: usize = 65_536;
+/// Size limit of a row in the store, in bytes.
+const MAX_ROW_BYTES: usize = 65_536;
 
-/// Tasks that a job may have, over all its repetitions.
-const TASKS: u32 = 20_000;
+/// Maximum number of tasks of a job, over all its occurrences.
+const MAX_TASKS: u32 = 20_000;
 
 fn job(counts: &[u32], occurrences: u32) -> Job {
     let queue = Arc::new(Queue {
@@ -47,7 +47,7 @@
     job
 }
 
-/// Marks the tasks for which `is_done` holds by their place in the step.
+/// Marks the tasks as done for which `is_done` holds, given the step and the index.
 fn finish(job: &mut Job, is_done: impl Fn(StepId, u32) -> bool) {
     for (id, step) in &mut job.steps {
         for (index, task) in step.tasks.iter_mut().enumerate() {
@@ -66,18 +66,23 @@
     job.steps.iter().map(tasks).collect()
 }
 
-/// The tasks that are done were listed one by one, each in some six bytes, and every repetition of a step in some sixty more. From
-/// 10,000 tasks or 1,000 repetitions on the store refused the row, so nothing of the job was recorded any more, nor of others that
-/// were in one transaction with it; a successor would have started all of it again.
+/// Guards against progress rows above the size limit. Listing done tasks one by one took about six
+/// bytes for each task and sixty for each occurrence of a step. From 10,000 tasks or 1,000
+/// occurrences on, the store rejected the row. Then no progress of the job was stored, nor of
+/// others in the same transaction, and a successor would have started all of it again.
 #[test]
-fn progress_of_the_largest_jobs_fits_into_a_row_and_is_read_as_it_was() {
-    let shapes: [(&[u32], u32); 4] =
-        [(&[TASKS], 1), (&[TASKS / 2, TASKS / 2], 1), (&[1], TASKS), (&[1, 1], TASKS / 2)];
+fn progress_of_the_largest_jobs_fits_into_a_row_and_survives_a_round_trip() {
+    let shapes: [(&[u32], u32); 4] = [
+        (&[MAX_TASKS], 1),
+        (&[MAX_TASKS / 2, MAX_TASKS / 2], 1),
+        (&[1], MAX_TASKS),
+        (&[1, 1], MAX_TASKS / 2),
+    ];
     for (counts, occurrences) in shapes {
         let last = occurrences - 1;
         let patterns: [&dyn Fn(StepId, u32) -> bool; 4] = [
             &|_, _| true,
-            // A repetition that has just begun, after others that are over.
+            // An occurrence that has just begun, after others that are complete.
             &|id, index| id.occurrence < last || index == 0 && id.step == 0,
             &|id, index| id.occurrence < last || index % 2 == 0,
             &|id, index| id.occurrence < last || index % 3 != 0,
@@ -87,7 +92,7 @@
             finish(&mut before, is_done);
             let row = value(&before.progress());
             let bytes = row.to_string().len();
-            assert!(bytes <= ROW_BYTES, "{bytes} bytes for {counts:?} x {occurrences}");
+            assert!(bytes <= MAX_ROW_BYTES, "{bytes} bytes for {counts:?} x {occurrences}");
             let mut after = job(counts, occurrences);
             after.restore(&serde_json::from_value::<ProgressRecord>(row).unwrap());
             assert_eq!(done(&after), done(&before));
@@ -95,7 +100,7 @@
     }
 }
 
-/// An earlier release listed the tasks that are done; its rows are taken over.
+/// Rows of an earlier release, which listed the tasks that are done, can still be read.
 #[test]
 fn progress_of_an_earlier_release_is_read() {
     let row = json!({ "steps": [{ "occurrence": 0, "step": 0, "done": [0, 2, 3], "failed": [] }] });
--- a/reachhead_jobs/tests/quota/main.rs
+++ b/reachhead_jobs/tests/quota/main.rs
@@ -1,4 +1,5 @@
-//! The ledger of quotas and the owners of pools over a network that loses, repeats and delays, while both change hands.
+//! Tests of the quota ledger and the owners of pools over an unreliable network, with ownership
+//! changes.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -13,33 +14,33 @@
 use reachhead_plan::amount::Amount;
 use reachhead_types::size::{FencingToken, Millis};
 
-use self::simulation::{POOLS, Site, customer, customers, pool};
+use self::simulation::{POOLS, Simulation, customer, customers, pool};
 
-/// Walks that are played, and steps of each.
-const WALKS: u64 = 400;
+/// Number of random schedules, and steps of each.
+const SCHEDULES: u64 = 400;
 const STEPS: u32 = 600;
 
 #[test]
-fn no_start_brings_a_customer_above_its_quota_whatever_fails() {
-    for seed in 0..WALKS {
-        let mut site = Site::new(seed);
+fn no_start_exceeds_a_quota_under_failures() {
+    for seed in 0..SCHEDULES {
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            site.step();
+            simulation.step();
         }
-        assert!(site.started > 0, "seed {seed}: nothing ever started");
+        assert!(simulation.started > 0, "seed {seed}: nothing ever started");
     }
 }
 
 #[test]
-fn a_customer_far_below_its_quota_starts_soon_once_all_is_well() {
-    for seed in 0..WALKS {
-        let mut site = Site::new(seed);
+fn a_customer_below_its_quota_starts_tasks_soon_after_recovery() {
+    for seed in 0..SCHEDULES {
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            site.step();
+            simulation.step();
         }
-        site.calm();
+        simulation.recover();
         for pool in 0..POOLS {
-            assert!(site.starts_soon(pool), "seed {seed}: pool {pool} starts nothing");
+            assert!(simulation.starts_soon(pool), "seed {seed}: pool {pool} starts nothing");
         }
     }
 }
@@ -48,11 +49,12 @@
     Amount::new(cores, 0, 0)
 }
 
-fn stated(limit: u64, used: u64, next: u64) -> CustomerUsage {
+fn usage(limit: u64, used: u64, next: u64) -> CustomerUsage {
     CustomerUsage { limit: cores(limit), used: cores(used), wanted: cores(next), next: cores(next) }
 }
 
-/// Plays a round in which every owner takes its limits and wants one task of `next` more than it may start.
+/// Runs a round in which every owner applies its limits and wants to start one more task of `next`
+/// cores.
 fn round(ledger: &mut Ledger, quota: u64, limits: &mut BTreeMap<usize, u64>, next: u64) {
     let pools: Vec<_> = (0..POOLS).map(pool).collect();
     for (name, message) in ledger.round(pools.iter(), &customers(quota), Tick(1)) {
@@ -61,7 +63,7 @@
         if message.owner.is_some() {
             *limit = message.limits.get(&customer()).map_or(*limit, |limit| limit.cores);
         }
-        let customers = BTreeMap::from([(customer(), stated(*limit, 0, next))]);
+        let customers = BTreeMap::from([(customer(), usage(*limit, 0, next))]);
         let report = UsageReport { owner: FencingToken(9), whole: true, customers };
         ledger.process_report(&name, &message, report, Tick(1));
     }
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn a_quota_that_nobody_uses_is_spread_so_that_no_pool_has_to_ask_first() {
+fn an_unused_quota_is_spread_over_all_pools() {
     let mut ledger = Ledger::new(FencingToken(1), Millis(0), Tick(0));
     let mut limits = BTreeMap::new();
     for _ in 0..3 {
@@ -101,20 +103,20 @@
 }
 
 #[test]
-fn an_owner_that_has_not_answered_a_new_ledger_keeps_all_limits_where_they_are() {
+fn an_unanswered_owner_keeps_a_new_ledger_from_raising_limits() {
     let mut ledger = Ledger::new(FencingToken(1), Millis(10_000), Tick(0));
     let pools: Vec<_> = (0..POOLS).map(pool).collect();
     for time in [1, 100, 9000] {
         for (name, message) in ledger.round(pools.iter(), &customers(8000), Tick(time)) {
             assert!(message.limits.is_empty(), "raised at {time} ms: {message:?}");
             if name != pool(0) {
-                let customers = BTreeMap::from([(customer(), stated(0, 0, 1000))]);
+                let customers = BTreeMap::from([(customer(), usage(0, 0, 1000))]);
                 let report = UsageReport { owner: FencingToken(9), whole: true, customers };
                 ledger.process_report(&name, &message, report, Tick(time));
             }
         }
     }
-    // Whatever the predecessor let that pool start has surely ended.
+    // Whatever the previous owner let that pool start has certainly ended.
     let messages = ledger.round(pools.iter(), &customers(8000), Tick(10_000));
     assert!(messages.iter().any(|(_, message)| !message.limits.is_empty()));
 }
--- a/reachhead_jobs/tests/quota/simulation.rs
+++ b/reachhead_jobs/tests/quota/simulation.rs
@@ -1,4 +1,4 @@
-//! Owners of pools, ledgers and what lies between them, moved by a seed.
+//! Simulation of owners of pools, ledgers and the network between them, driven by a seed.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,17 +13,18 @@
     size::{FencingToken, Millis, Weight},
 };
 
-/// Pools of the site.
+/// Number of pools.
 pub const POOLS: usize = 4;
 
-/// How long an owner may work on without hearing of a new ledger, with its limits' time and a task's.
-const EFFECT: Millis = Millis(9000);
+/// How long a pool may still use what it was allotted: the time an owner works on without knowing
+/// of a new ledger, the expiry of its limits, and the duration of a task.
+const MAX_ORPHAN_TIME: Millis = Millis(9000);
 
-/// How long an owner goes on without the store's word.
-const TRUST: u64 = 4000;
+/// How long an owner continues without a read of the leases, in milliseconds.
+const MAX_LEASE_AGE: u64 = 4000;
 
-/// Longest time that a task runs.
-const TASK_TIME: u64 = 2500;
+/// Longest duration of a task, in milliseconds.
+const MAX_TASK_TIME: u64 = 2500;
 
 pub fn pool(place: usize) -> PoolName {
     format!("p{place}").parse().unwrap()
@@ -52,22 +53,22 @@
 /// The owner of a pool.
 struct Owner {
     token: FencingToken,
-    allowances: CustomerLimits,
-    denied: u64,
-    /// When it reads the leases next.
-    leases: u64,
+    limits: CustomerLimits,
+    rejected_need: u64,
+    /// When it last read the leases.
+    leases_read: u64,
 }
 
 impl Owner {
-    fn new(token: u64, quota: u64, leases: u64) -> Self {
-        let mut allowances = CustomerLimits::new();
-        allowances.configure(&Arc::new(customers(quota)));
-        Self { token: FencingToken(token), allowances, denied: 0, leases }
+    fn new(token: u64, quota: u64, leases_read: u64) -> Self {
+        let mut limits = CustomerLimits::new();
+        limits.configure(&Arc::new(customers(quota)));
+        Self { token: FencingToken(token), limits, rejected_need: 0, leases_read }
     }
 }
 
-/// A message of a ledger that is on its way.
-struct Letter {
+/// A message of a ledger in flight.
+struct Message {
     pool: usize,
     allotment: Allotment,
 }
@@ -77,49 +78,49 @@
     token: u64,
 }
 
-/// The whole site.
-pub struct Site {
+/// State of the simulation.
+pub struct Simulation {
     seed: u64,
     now: u64,
     quota: u64,
-    /// The highest quota of the last seconds, which may still be in force somewhere.
-    highest: Vec<(u64, u64)>,
+    /// Recent quotas, which may still be in force somewhere.
+    quotas: Vec<(u64, u64)>,
     tokens: u64,
     owners: Vec<Owner>,
     tasks: Vec<Vec<Task>>,
-    /// The newest last; others may not know that they are replaced.
+    /// Ledgers, the newest last; earlier ones may not know that they were replaced.
     ledgers: Vec<Running>,
-    late: Vec<Letter>,
+    delayed: Vec<Message>,
     faults: bool,
-    /// Tasks that were started.
+    /// Number of tasks started.
     pub started: u64,
 }
 
-impl Site {
+impl Simulation {
     pub fn new(seed: u64) -> Self {
-        let mut site = Self {
+        let mut simulation = Self {
             seed: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) + 1,
             now: 1000,
             quota: 10_000,
-            highest: vec![(0, 10_000)],
+            quotas: vec![(0, 10_000)],
             tokens: 10,
             owners: Vec::new(),
             tasks: vec![Vec::new(); POOLS],
             ledgers: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             faults: true,
             started: 0,
         };
         for _ in 0..POOLS {
-            site.tokens += 1;
-            site.owners.push(Owner::new(site.tokens, site.quota, 1000));
+            simulation.tokens += 1;
+            simulation.owners.push(Owner::new(simulation.tokens, simulation.quota, 1000));
         }
-        site.replace_ledger();
-        site
+        simulation.replace_ledger();
+        simulation
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        // xorshift: small, and the same everywhere.
+        // xorshift: small, and equal on all platforms.
         self.seed ^= self.seed << 13;
         self.seed ^= self.seed >> 7;
         self.seed ^= self.seed << 17;
@@ -128,14 +129,14 @@
 
     fn replace_ledger(&mut self) {
         self.tokens += 1;
-        let ledger = Ledger::new(FencingToken(self.tokens), EFFECT, Tick(self.now));
+        let ledger = Ledger::new(FencingToken(self.tokens), MAX_ORPHAN_TIME, Tick(self.now));
         self.ledgers.push(Running { ledger, token: self.tokens });
         if self.ledgers.len() > 2 {
             self.ledgers.remove(0);
         }
     }
 
-    /// Something happens.
+    /// Performs one random step.
     pub fn step(&mut self) {
         self.now += self.draw(60);
         for tasks in &mut self.tasks {
@@ -147,7 +148,7 @@
             1 if self.faults => self.replace_owner(place),
             2 if self.faults => self.change_quota(),
             3..=45 => self.start(place),
-            46..=60 if self.faults => self.deliver_late(),
+            46..=60 if self.faults => self.deliver_delayed(),
             _ => {
                 let all = self.ledgers.len() as u64;
                 let ledger = if self.faults { self.draw(all) } else { all - 1 };
@@ -159,30 +160,31 @@
 
     fn change_quota(&mut self) {
         self.quota = [2000, 5000, 10_000, 20_000][self.draw(4) as usize];
-        self.highest.push((self.now, self.quota));
+        self.quotas.push((self.now, self.quota));
         for owner in &mut self.owners {
-            owner.allowances.configure(&Arc::new(customers(self.quota)));
+            owner.limits.configure(&Arc::new(customers(self.quota)));
         }
     }
 
-    /// A successor knows what runs, or what may run of the jobs that it finds.
+    /// Replaces an owner by one that knows what runs, or may run, of the jobs that it finds.
     fn replace_owner(&mut self, place: usize) {
         self.tokens += 1;
         let mut owner = Owner::new(self.tokens, self.quota, self.now);
         // It has seen the leases as they were when it wrote its own.
         let newest = self.ledgers[self.ledgers.len() - 1].token;
-        owner.allowances.observe_ledger(FencingToken(newest), Tick(self.now));
+        owner.limits.observe_ledger(FencingToken(newest), Tick(self.now));
         self.owners[place] = owner;
     }
 
-    /// Each owner reads the leases now and then, and starts nothing if it has not done so for long.
+    /// Lets owners read the leases now and then, at the latest when the last read is too old.
     fn read_leases(&mut self) {
         let newest = self.ledgers[self.ledgers.len() - 1].token;
         for place in 0..POOLS {
-            let due = self.draw(20) == 0 || self.now - self.owners[place].leases > TRUST / 2;
+            let due =
+                self.draw(20) == 0 || self.now - self.owners[place].leases_read > MAX_LEASE_AGE / 2;
             if due {
-                self.owners[place].leases = self.now;
-                self.owners[place].allowances.observe_ledger(FencingToken(newest), Tick(self.now));
+                self.owners[place].leases_read = self.now;
+                self.owners[place].limits.observe_ledger(FencingToken(newest), Tick(self.now));
             }
         }
     }
@@ -199,19 +201,19 @@
     fn start_task(&mut self, place: usize, need: u64) {
         let used = self.used(place);
         let owner = &mut self.owners[place];
-        owner.allowances.expire(Tick(self.now));
-        if !owner.allowances.allows(&customer(), cores(used), cores(need)) {
-            owner.denied = need;
+        owner.limits.expire(Tick(self.now));
+        if !owner.limits.allows(&customer(), cores(used), cores(need)) {
+            owner.rejected_need = need;
             return;
         }
-        owner.denied = 0;
-        let ends = self.now + 100 + self.draw(TASK_TIME - 100);
+        owner.rejected_need = 0;
+        let ends = self.now + 100 + self.draw(MAX_TASK_TIME - 100);
         let before: u64 = (0..POOLS).map(|pool| self.used(pool)).sum();
         self.tasks[place].push(Task { cores: need, ends });
         self.started += 1;
-        let recent = self.highest.iter().rev().scan(false, |over, (at, quota)| {
+        let recent = self.quotas.iter().rev().scan(false, |over, (at, quota)| {
             let counts = !*over;
-            *over = self.now - at > TASK_TIME;
+            *over = self.now - at > MAX_TASK_TIME;
             counts.then_some(*quota)
         });
         let most = recent.max().unwrap();
@@ -222,13 +224,14 @@
         );
     }
 
-    fn answer(&mut self, letter: &Letter) -> UsageReport {
-        let used = cores(self.used(letter.pool));
-        let owner = &mut self.owners[letter.pool];
-        owner.allowances.apply(&letter.allotment, owner.token);
+    fn answer(&mut self, message: &Message) -> UsageReport {
+        let used = cores(self.used(message.pool));
+        let owner = &mut self.owners[message.pool];
+        owner.limits.apply(&message.allotment, owner.token);
         let token = owner.token;
-        let demand = Demand { used, wanted: cores(owner.denied), next: cores(owner.denied) };
-        owner.allowances.answer(&letter.allotment, token, &BTreeMap::from([(customer(), demand)]))
+        let demand =
+            Demand { used, wanted: cores(owner.rejected_need), next: cores(owner.rejected_need) };
+        owner.limits.answer(&message.allotment, token, &BTreeMap::from([(customer(), demand)]))
     }
 
     fn round(&mut self, ledger: usize) {
@@ -236,52 +239,53 @@
         let customers = customers(self.quota);
         let now = Tick(self.now);
         let messages = self.ledgers[ledger].ledger.round(pools.iter(), &customers, now);
-        let mut statements = Vec::new();
+        let mut reports = Vec::new();
         for (place, (name, allotment)) in messages.into_iter().enumerate() {
-            let letter = Letter { pool: place, allotment };
+            let message = Message { pool: place, allotment };
             match if self.faults { self.draw(10) } else { 9 } {
-                // Neither the message nor its answer arrives, or the message does late.
+                // The message and its answer are lost, or the message is delayed.
                 0 => {}
-                1 => self.late.push(letter),
-                // The answer is lost, and the message may come once more.
+                1 => self.delayed.push(message),
+                // The answer is lost, and the message may be delivered again.
                 2 => {
-                    self.answer(&letter);
-                    self.late.push(letter);
+                    self.answer(&message);
+                    self.delayed.push(message);
                 }
                 _ => {
-                    let report = self.answer(&letter);
-                    statements.push((name, letter.allotment, report));
+                    let report = self.answer(&message);
+                    reports.push((name, message.allotment, report));
                 }
             }
         }
-        for (name, sent, report) in statements {
+        for (name, sent, report) in reports {
             self.ledgers[ledger].ledger.process_report(&name, &sent, report, now);
         }
     }
 
-    fn deliver_late(&mut self) {
-        if !self.late.is_empty() {
-            let count = self.late.len() as u64;
+    fn deliver_delayed(&mut self) {
+        if !self.delayed.is_empty() {
+            let count = self.delayed.len() as u64;
             let place = self.draw(count) as usize;
-            let letter = self.late.swap_remove(place);
-            self.answer(&letter);
+            let message = self.delayed.swap_remove(place);
+            self.answer(&message);
         }
     }
 
-    /// Nothing fails any more, for longer than anything takes effect.
-    pub fn calm(&mut self) {
+    /// Disables faults and runs until all earlier ones have lost their effect.
+    pub fn recover(&mut self) {
         self.faults = false;
-        let end = self.now + 2 * EFFECT.0;
+        let end = self.now + 2 * MAX_ORPHAN_TIME.0;
         while self.now < end {
             self.step();
         }
     }
 
-    /// Tells whether a task starts in a pool within a few rounds while the customer has next to nothing running.
+    /// Returns whether a task starts in a pool within a few rounds while the customer uses next to
+    /// nothing.
     pub fn starts_soon(&mut self, place: usize) -> bool {
         self.tasks = vec![Vec::new(); POOLS];
         for owner in &mut self.owners {
-            owner.denied = 0;
+            owner.rejected_need = 0;
         }
         let started = self.started;
         for _ in 0..4 {
--- a/reachhead_jobs/tests/random_schedules/simulation.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation.rs
@@ -1,5 +1,5 @@
-//! Owners of one pool that are killed, paused, cut off and wrong about each other, workers that crash
-//! and drain, and a store that carries transactions out late.
+//! Simulation of a pool with several owners that are killed, paused, partitioned and wrong about
+//! each other, workers that crash and drain, and a store that carries out transactions late.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -36,53 +36,54 @@
 
 use self::plans::{plan, queue};
 
-/// Time between two steps of the world, in milliseconds.
+/// Time between two steps of the simulation, in milliseconds.
 const STEP: u64 = 20;
 
-/// How long an order travels.
-const TRAVEL: u64 = 5;
+/// Network delay of an order, in milliseconds.
+const NETWORK_DELAY: u64 = 5;
 
-/// How long an owner goes on before it hears that the lease has changed hands.
-const FOLLOW_LAG: u64 = 120;
+/// Delay until an owner notices that the lease was taken by another process, in milliseconds.
+const LEASE_NOTICE_DELAY: u64 = 120;
 
-/// How long after a worker crashed its owner is told that the platform has no host with it.
-const OVER_LAG: u64 = 200;
+/// Delay after a worker's crash until owners learn that the platform has no host with it, in
+/// milliseconds.
+const DEATH_NOTICE_DELAY: u64 = 200;
 
-/// How long a worker that a task crashed takes to come back.
-const REBOOT_TIME: u64 = 1000;
+/// Time until a worker that a task crashed is replaced, in milliseconds.
+const REPLACEMENT_DELAY: u64 = 1000;
 
-/// Jobs of kinds from here on have a task that crashes its workers, in walks with such tasks.
-const CULPRIT_KIND: u8 = 200;
+/// Jobs of this kind and above have a task that crashes its workers, in schedules with such tasks.
+const FIRST_CULPRIT_KIND: u8 = 200;
 
-/// How long nothing must have disturbed an owner for its starts to be counted.
-const TOUCH_TIME: u64 = 3000;
+/// Time without disturbance after which the starts of an owner are counted, in milliseconds.
+const MIN_UNDISTURBED_TIME: u64 = 3000;
 
-/// Workers that stand at any time.
+/// Number of workers at any time.
 const WORKERS: u8 = 3;
 
-/// How long a task takes, in milliseconds.
+/// Duration of a task, in milliseconds.
 const TASK_TIME: u64 = 700;
 
-/// What every task needs, in thousandths of a core, of a worker's two cores.
+/// Need of every task, in thousandths of a core; a worker has two cores.
 const NEED: u64 = 700;
 
 fn need() -> Amount {
     Amount::new(NEED, 100, 0)
 }
 
-/// Something that arrives later.
+/// An event scheduled for a later time.
 enum Event {
-    /// An action arrives at its worker; `answered` tells whether its answer gets back.
+    /// An action arrives at its worker; `answered` says whether the answer gets back.
     Order { owner: usize, action: Action, sent: Tick, answered: bool },
-    /// The raise of a fence by a process that is gone arrives at the store.
+    /// A fence transaction of a process that has ended arrives at the store.
     Raise(Txn),
     /// A transaction arrives at the store.
     Commit { owner: usize, batch: Box<Batch>, answered: bool },
-    /// Owners are told that a worker's life is over.
-    Over(WorkerId),
+    /// Owners learn that a worker is dead.
+    Dead(WorkerId),
     /// A worker joins.
     Join,
-    /// Something is told to an owner.
+    /// An answer arrives at an owner.
     Answer { owner: usize, answer: Answer },
 }
 
@@ -97,30 +98,30 @@
     pool: Pool,
     token: Revision,
     recording: BTreeSet<Lane>,
-    /// It neither hears nor does anything until then.
-    frozen: u64,
+    /// Paused until then.
+    paused_until: u64,
     alive: bool,
     /// Workers that it can't reach, and until when.
-    cut: BTreeMap<WorkerId, u64>,
-    /// It can't reach the store until then.
-    blind: u64,
-    /// Since when it is in charge.
-    since: u64,
+    workers_cut: BTreeMap<WorkerId, u64>,
+    /// Partitioned from the store until then.
+    store_cut_until: u64,
+    /// When it became owner.
+    owner_since: u64,
 }
 
-/// What was seen of a task.
+/// Observed state of a task.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     running: BTreeSet<WorkerId>,
-    /// A run ended as done, whether or not anybody took note.
+    /// A run ended as done, whether or not an owner knows.
     done: bool,
-    /// That was taken note of.
-    noted: bool,
-    /// When it last began.
-    began: u64,
+    /// An owner acknowledged that the task is done.
+    acknowledged: bool,
+    /// Start of its latest run.
+    started: u64,
 }
 
-pub struct Site {
+pub struct Simulation {
     now: u64,
     store: MemoryStore,
     owners: Vec<Owner>,
@@ -128,30 +129,30 @@
     draining: BTreeSet<WorkerId>,
     events: BTreeMap<(u64, u64), Event>,
     count: u64,
-    lives: u64,
+    incarnations: u64,
     jobs: BTreeMap<JobId, Arc<Plan>>,
     cancelled: BTreeSet<JobId>,
-    /// When the lease last changed hands.
+    /// When the lease was last taken.
     lease_changed: u64,
-    /// The highest token of each part's fence.
+    /// Highest token seen in each shard's fence.
     fenced: BTreeMap<Shard, FencingToken>,
-    tasks: BTreeMap<TaskId, Seen>,
-    /// Faults that the next orders meet.
-    lose: u8,
-    late: u8,
-    /// Some jobs have a task that crashes whoever starts it.
+    tasks: BTreeMap<TaskId, Observed>,
+    /// Number of next orders and transactions that are lost or late.
+    lose_next: u8,
+    delay_next: u8,
+    /// Some jobs have a task that crashes every worker.
     crashing: bool,
-    /// Workers that crash start again under the ids that they had.
+    /// Workers that crash restart under their ids.
     restarting: bool,
     culprits: BTreeMap<TaskId, Culprit>,
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-/// What a task that crashes its workers has done.
+/// Observed behaviour of a task that crashes its workers.
 #[derive(Default)]
 struct Culprit {
     crashes: u32,
-    /// Starts after the third crash, by owners that nothing has disturbed for a while.
+    /// Starts after the third crash, by owners that were not disturbed for a while.
     late_starts: u32,
 }
 
@@ -173,17 +174,18 @@
 }
 
 impl Owner {
-    /// Tells whether nothing has disturbed it for a while.
-    fn is_in_touch(&self, now: u64) -> bool {
-        let cut = self.cut.values().copied().max().unwrap_or_default();
-        let disturbed = self.since.max(self.frozen).max(self.blind).max(cut);
-        now >= disturbed + TOUCH_TIME
+    /// Returns whether the owner was not disturbed for a while.
+    fn is_undisturbed(&self, now: u64) -> bool {
+        let workers_cut = self.workers_cut.values().copied().max().unwrap_or_default();
+        let disturbed =
+            self.owner_since.max(self.paused_until).max(self.store_cut_until).max(workers_cut);
+        now >= disturbed + MIN_UNDISTURBED_TIME
     }
 }
 
-impl Site {
+impl Simulation {
     pub fn new() -> Self {
-        let mut site = Self {
+        let mut simulation = Self {
             now: 1_000_000,
             store: MemoryStore::new(),
             owners: Vec::new(),
@@ -191,34 +193,34 @@
             draining: BTreeSet::new(),
             events: BTreeMap::new(),
             count: 0,
-            lives: 0,
+            incarnations: 0,
             jobs: BTreeMap::new(),
             cancelled: BTreeSet::new(),
             lease_changed: 0,
             fenced: BTreeMap::new(),
             tasks: BTreeMap::new(),
-            lose: 0,
-            late: 0,
+            lose_next: 0,
+            delay_next: 0,
             crashing: false,
             restarting: false,
             culprits: BTreeMap::new(),
-            wrong: Vec::new(),
+            violations: Vec::new(),
         };
         for _ in 0..WORKERS {
-            site.add_worker();
+            simulation.add_worker();
         }
-        site.take_over();
-        site.run(400);
-        site
+        simulation.take_over();
+        simulation.run(400);
+        simulation
     }
 
-    /// Lets some jobs have a task that crashes whoever starts it.
+    /// Lets some jobs have a task that crashes every worker.
     pub fn with_crashes(mut self) -> Self {
         self.crashing = true;
         self
     }
 
-    /// Lets workers that crash start again under the ids that they had.
+    /// Lets workers that crash restart under their ids.
     pub fn with_restarts(mut self) -> Self {
         self.restarting = true;
         for (number, life) in self.workers.values_mut().enumerate() {
@@ -229,19 +231,19 @@
     }
 
     fn add_worker(&mut self) {
-        self.lives += 1;
-        let id = format!("w{}", self.lives).parse().unwrap();
-        let mut life = Life::new(self.lives * 10_000, Amount::new(2000, 4000, 0));
-        life.born = self.restarting.then_some(Millis(self.now + self.lives));
+        self.incarnations += 1;
+        let id = format!("w{}", self.incarnations).parse().unwrap();
+        let mut life = Life::new(self.incarnations * 10_000, Amount::new(2000, 4000, 0));
+        life.born = self.restarting.then_some(Millis(self.now + self.incarnations));
         self.workers.insert(id, life);
         self.list();
     }
 
-    /// A worker starts again under the id that it had, with a clock that shows less.
+    /// Restarts a worker under its id, with a clock that starts lower.
     fn restart(&mut self, id: WorkerId) {
-        self.lives += 1;
-        let born = Millis(self.now + self.lives);
-        let life = Life::new(self.lives, Amount::new(2000, 4000, 0)).with_birth(born);
+        self.incarnations += 1;
+        let born = Millis(self.now + self.incarnations);
+        let life = Life::new(self.incarnations, Amount::new(2000, 4000, 0)).with_birth(born);
         self.workers.insert(id, life);
         self.list();
     }
@@ -281,7 +283,7 @@
         self.owners.last_mut().unwrap()
     }
 
-    /// One random act.
+    /// Performs one random act.
     pub fn act(&mut self, (kind, what, time): (u8, u8, u8)) {
         let span = u64::from(time) * 20;
         match kind % 14 {
@@ -294,20 +296,20 @@
             }
             6 => {
                 let until = self.now + span;
-                self.newest().frozen = until;
+                self.newest().paused_until = until;
                 self.run(span / 2);
                 self.take_over();
             }
             7 => {
                 let until = self.now + span;
-                self.newest().blind = until;
+                self.newest().store_cut_until = until;
                 self.run(span / 2);
                 self.take_over();
             }
             8 => {
                 let until = self.now + span;
                 if let Some(id) = self.pick(what) {
-                    self.newest().cut.insert(id, until);
+                    self.newest().workers_cut.insert(id, until);
                 }
             }
             9 => {
@@ -316,10 +318,10 @@
                     if self.restarting { self.restart(id) } else { self.add_worker() }
                 }
             }
-            10 => self.lose = what % 8,
-            11 => self.late = what % 8,
-            12 => self.vacate(what),
-            _ => self.half_take_over(usize::from(what % 4), 40 + span / 4),
+            10 => self.lose_next = what % 8,
+            11 => self.delay_next = what % 8,
+            12 => self.drain_and_take(what),
+            _ => self.take_over_partially(usize::from(what % 4), 40 + span / 4),
         }
         self.run(span % 700);
     }
@@ -332,24 +334,24 @@
     fn crash(&mut self, id: &WorkerId) {
         self.workers.remove(id);
         if self.crashing {
-            self.push(OVER_LAG, Event::Over(id.clone()));
+            self.push(DEATH_NOTICE_DELAY, Event::Dead(id.clone()));
         }
-        for seen in self.tasks.values_mut() {
-            seen.running.remove(id);
+        for observed in self.tasks.values_mut() {
+            observed.running.remove(id);
         }
         self.list();
     }
 
-    /// Planned work takes a worker if the owner says that nothing protected is there.
-    fn vacate(&mut self, what: u8) {
+    /// Takes a worker for planned work if the owner reports that nothing protected is there.
+    fn drain_and_take(&mut self, what: u8) {
         let Some(id) = self.pick(what) else { return };
         let now = Tick(self.now);
         let owner = self.newest();
-        if owner.alive && owner.frozen <= now.0 {
+        if owner.alive && owner.paused_until <= now.0 {
             let progress = owner.pool.drain_worker(&id, DrainMode::Graceful, now);
             if matches!(progress, DrainProgress::Empty | DrainProgress::Unknown) {
-                if self.workers[&id].running.keys().any(|task| self.lasts(task)) {
-                    self.wrong
+                if self.workers[&id].running.keys().any(|task| self.is_long_running(task)) {
+                    self.violations
                         .push(format!("{id} is said to be empty, and a protected task is there"));
                 }
                 self.crash(&id);
@@ -361,7 +363,7 @@
     fn submit(&mut self, kind: u8) {
         let id = JobId(self.jobs.len() as u64 + 1);
         let long = self.jobs.values().filter(|plan| plan.is_long_running()).count();
-        // More tasks that run on than that would leave no room for anything else.
+        // More long-running tasks would leave no capacity for anything else.
         let plan = plan(if long >= 2 { kind % 2 } else { kind });
         let record = JobRecord {
             queue: queue(),
@@ -369,7 +371,7 @@
             accepted: Millis(self.now),
             customer: None,
         };
-        if self.crashing && kind >= CULPRIT_KIND {
+        if self.crashing && kind >= FIRST_CULPRIT_KIND {
             let first = StepId { job: id, occurrence: 0, step: 0 }.task(0);
             self.culprits.insert(first, Culprit::default());
         }
@@ -379,7 +381,7 @@
         self.jobs.insert(id, plan);
         let now = Tick(self.now);
         let owner = self.newest();
-        if owner.alive && owner.frozen <= now.0 {
+        if owner.alive && owner.paused_until <= now.0 {
             owner.pool.submit(id, &record, row, now, Millis(now.0));
         }
     }
@@ -389,14 +391,14 @@
         if let Some(id) = open.get(what as usize % open.len().max(1)).copied() {
             let now = self.now;
             let owner = self.newest();
-            if owner.alive && owner.frozen <= now {
+            if owner.alive && owner.paused_until <= now {
                 owner.pool.cancel(id);
                 self.cancelled.insert(id);
             }
         }
     }
 
-    fn lasts(&self, task: &TaskId) -> bool {
+    fn is_long_running(&self, task: &TaskId) -> bool {
         self.jobs.get(&task.job).is_some_and(|plan| plan.steps[task.step as usize].long_running)
     }
 
@@ -416,22 +418,22 @@
         for life in self.workers.values_mut() {
             life.advance(now);
         }
-        self.judge();
+        self.check_invariants();
     }
 
     fn poll_owners(&mut self) {
         for place in 0..self.owners.len() {
             let now = Tick(self.now);
             let owner = &mut self.owners[place];
-            if !owner.alive || owner.frozen > self.now {
+            if !owner.alive || owner.paused_until > self.now {
                 continue;
             }
-            if owner.blind <= self.now {
+            if owner.store_cut_until <= self.now {
                 let lease = self.read(lease_key(&pool_name())).map(|row| row.revision);
                 let owner = &mut self.owners[place];
                 if lease == Some(owner.token) {
                     owner.pool.verify(now);
-                } else if self.now >= self.lease_changed + FOLLOW_LAG {
+                } else if self.now >= self.lease_changed + LEASE_NOTICE_DELAY {
                     owner.alive = false;
                     continue;
                 }
@@ -451,7 +453,7 @@
     }
 
     fn record(&mut self, place: usize, now: Tick) {
-        if self.owners[place].blind > now.0 {
+        if self.owners[place].store_cut_until > now.0 {
             return;
         }
         for Due { lane, .. } in self.owners[place].pool.due() {
@@ -464,7 +466,7 @@
             let (lost, delay) = self.fault();
             let event =
                 Event::Commit { owner: place, batch: Box::new(batch.clone()), answered: !lost };
-            self.push(TRAVEL + delay, event);
+            self.push(NETWORK_DELAY + delay, event);
             if lost {
                 let result = Err(StoreError::Lost("the walk loses it".to_owned()));
                 let answer = Answer::Committed(Box::new(batch), result);
--- a/reachhead_jobs/tests/random_schedules/simulation/invariants.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold at every moment of a walk, and at its end.
+//! Invariants of a schedule, checked at every step and at its end.
 
 use reachhead_jobs::{
     model::Plan,
@@ -10,78 +10,82 @@
 };
 use reachhead_types::id::JobId;
 
-use super::{Deed, NEED, Site, pool_name};
+use super::{Deed, NEED, Simulation, pool_name};
 
-impl Site {
-    /// Looks whether a part's fence was lowered.
-    fn judge_fences(&mut self) {
+impl Simulation {
+    /// Checks that no shard's fence is lowered.
+    fn check_fences(&mut self) {
         for shard in Shard::all() {
             let row = self.read(fence_key(&pool_name(), shard));
             let token =
                 row.map(|row| row.parse::<FenceRecord>().unwrap().token).unwrap_or_default();
             let highest = self.fenced.entry(shard).or_default();
             if token < *highest {
-                self.wrong
+                self.violations
                     .push(format!("the fence of part {shard} went from {highest} to {token}"));
             }
             *highest = token.max(*highest);
         }
     }
 
-    /// Looks at what the workers did since the last time.
-    pub(super) fn judge(&mut self) {
-        self.judge_fences();
+    /// Checks what the workers did since the last check.
+    pub(super) fn check_invariants(&mut self) {
+        self.check_fences();
         for (id, life) in &mut self.workers {
             for deed in std::mem::take(&mut life.deeds) {
                 match deed {
                     Deed::Began(task) => {
-                        let seen = self.tasks.entry(task).or_default();
-                        if !seen.running.is_empty() {
-                            self.wrong
-                                .push(format!("{task} runs twice, on {:?} and {id}", seen.running));
+                        let observed = self.tasks.entry(task).or_default();
+                        if !observed.running.is_empty() {
+                            self.violations.push(format!(
+                                "{task} runs twice, on {:?} and {id}",
+                                observed.running
+                            ));
                         }
-                        if seen.noted {
-                            self.wrong.push(format!("{task} starts after it was noted as done"));
+                        if observed.acknowledged {
+                            self.violations
+                                .push(format!("{task} starts after it was acknowledged as done"));
                         }
-                        seen.began = self.now;
-                        seen.running.insert(id.clone());
+                        observed.started = self.now;
+                        observed.running.insert(id.clone());
                         let plan = &self.jobs[&task.job];
                         for &before in &plan.steps[task.step as usize].after {
                             for index in 0..plan.steps[before as usize].count {
                                 let other = TaskId { step: before, index, ..task };
-                                if !self.tasks.get(&other).is_some_and(|seen| seen.done) {
-                                    self.wrong
+                                if !self.tasks.get(&other).is_some_and(|observed| observed.done) {
+                                    self.violations
                                         .push(format!("{task} starts before {other} is done"));
                                 }
                             }
                         }
                     }
                     Deed::Noted(task, at) => {
-                        let seen = self.tasks.entry(task).or_default();
-                        seen.noted = true;
-                        if seen.began > at {
-                            self.wrong.push(format!("{task} was done and began again"));
+                        let observed = self.tasks.entry(task).or_default();
+                        observed.acknowledged = true;
+                        if observed.started > at {
+                            self.violations.push(format!("{task} was done and started again"));
                         }
                     }
                     Deed::Forgotten(_) => {}
                     Deed::Ended(task, end) => {
-                        let seen = self.tasks.entry(task).or_default();
-                        seen.running.remove(id);
-                        seen.done |= end == RunEnd::Done;
+                        let observed = self.tasks.entry(task).or_default();
+                        observed.running.remove(id);
+                        observed.done |= end == RunEnd::Done;
                     }
                 }
             }
             let used = life.running.len() as u64 * NEED;
             if used > life.capacity.cores {
-                self.wrong.push(format!("{id} is over its capacity: {used}"));
+                self.violations.push(format!("{id} is over its capacity: {used}"));
             }
         }
     }
 
-    /// Lets everything come to rest with a new owner; tells whether every job is as it should be.
+    /// Lets everything settle under a new owner; returns whether every job reaches its expected
+    /// state.
     pub fn settle(&mut self) -> bool {
-        self.lose = 0;
-        self.late = 0;
+        self.lose_next = 0;
+        self.delay_next = 0;
         for owner in &mut self.owners {
             owner.alive = false;
         }
@@ -89,12 +93,12 @@
         for _ in 0..60 {
             self.run(1000);
             if self.unsettled().is_empty() {
-                self.judge_culprits();
+                self.check_culprits();
                 return true;
             }
         }
         let left = self.unsettled();
-        self.wrong.push(format!("not settled: {left:?}"));
+        self.violations.push(format!("not settled: {left:?}"));
         false
     }
 
@@ -102,16 +106,16 @@
         self.culprits.keys().any(|task| task.job == id)
     }
 
-    /// Tasks that crash their workers are not started again and again.
-    fn judge_culprits(&mut self) {
+    /// Checks that tasks that crash their workers are not started again and again.
+    fn check_culprits(&mut self) {
         let often = self.culprits.iter().filter(|(_, culprit)| culprit.late_starts > 2);
-        let wrong: Vec<String> = often
+        let violations: Vec<String> = often
             .map(|(task, culprit)| {
                 let (late, crashes) = (culprit.late_starts, culprit.crashes);
                 format!("{task} starts {late} times after its third crash, of {crashes}")
             })
             .collect();
-        self.wrong.extend(wrong);
+        self.violations.extend(violations);
     }
 
     fn unsettled(&self) -> Vec<JobId> {
@@ -128,7 +132,7 @@
                 let works = self
                     .tasks
                     .iter()
-                    .filter(|(task, seen)| task.job == *id && !seen.running.is_empty());
+                    .filter(|(task, observed)| task.job == *id && !observed.running.is_empty());
                 plan.is_long_running()
                     && owner.pool.state(*id) == Some(JobState::Running)
                     && works.count() == plan.steps[0].count as usize
--- a/reachhead_jobs/tests/random_schedules/simulation/messages.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/messages.rs
@@ -1,4 +1,4 @@
-//! What travels between owners, workers and the store, and what becomes of it on the way.
+//! Network between owners, workers and the store, with lost and late messages.
 
 use reachhead_jobs::{
     clock::Tick,
@@ -8,17 +8,17 @@
 };
 use reachhead_types::id::WorkerId;
 
-use super::{Answer, Event, Life, Nature, REBOOT_TIME, Site, TASK_TIME, TRAVEL};
+use super::{Answer, Event, Life, NETWORK_DELAY, Nature, REPLACEMENT_DELAY, Simulation, TASK_TIME};
 
-impl Site {
-    /// Returns whether the next call's answer is lost, and how late it is carried out.
+impl Simulation {
+    /// Returns whether the answer of the next call is lost, and how late the call is carried out.
     pub(super) fn fault(&mut self) -> (bool, u64) {
-        if self.late > 0 {
-            self.late -= 1;
-            return (true, 700 + 400 * u64::from(self.late));
+        if self.delay_next > 0 {
+            self.delay_next -= 1;
+            return (true, 700 + 400 * u64::from(self.delay_next));
         }
-        if self.lose > 0 {
-            self.lose -= 1;
+        if self.lose_next > 0 {
+            self.lose_next -= 1;
             return (true, 0);
         }
         (false, 0)
@@ -45,7 +45,10 @@
             };
             self.push(200, Event::Answer { owner: place, answer });
         }
-        self.push(TRAVEL + delay, Event::Order { owner: place, action, sent, answered: !lost });
+        self.push(
+            NETWORK_DELAY + delay,
+            Event::Order { owner: place, action, sent, answered: !lost },
+        );
     }
 
     pub(super) fn deliver(&mut self) {
@@ -57,30 +60,30 @@
                 Event::Order { owner, action, sent, answered } => {
                     let answer = self.carry_out(owner, &action, sent);
                     if let Some(answer) = answer.filter(|_| answered) {
-                        self.push(TRAVEL, Event::Answer { owner, answer });
+                        self.push(NETWORK_DELAY, Event::Answer { owner, answer });
                     }
                 }
-                // Nobody waits for its answer.
+                // The process has ended, so the answer is discarded.
                 Event::Raise(txn) => drop(self.commit(txn)),
                 Event::Commit { owner, batch, answered } => {
                     let commit = self.commit(batch.txn.clone());
                     if answered {
                         let answer = Answer::Committed(batch, Ok(commit));
-                        self.push(TRAVEL, Event::Answer { owner, answer });
+                        self.push(NETWORK_DELAY, Event::Answer { owner, answer });
                     }
                 }
-                Event::Over(id) => self.tell_over(&id),
+                Event::Dead(id) => self.report_dead(&id),
                 Event::Join => self.add_worker(),
-                Event::Answer { owner, answer } => self.hear(owner, answer),
+                Event::Answer { owner, answer } => self.receive(owner, answer),
             }
-            self.judge();
+            self.check_invariants();
         }
     }
 
     fn carry_out(&mut self, owner: usize, action: &Action, sent: Tick) -> Option<Answer> {
         let now = self.now;
-        let cut = self.owners[owner].cut.clone();
-        let reach = |id: &WorkerId| cut.get(id).is_none_or(|until| *until <= now);
+        let workers_cut = self.owners[owner].workers_cut.clone();
+        let reach = |id: &WorkerId| workers_cut.get(id).is_none_or(|until| *until <= now);
         let gone = || WorkerError::Unreachable("no such worker".to_owned());
         match action {
             Action::Hold(target, order) => {
@@ -89,13 +92,13 @@
                 Some(Answer::Held(target.id.clone(), sent, result))
             }
             Action::Start(target, order) => {
-                let time = (!self.lasts(&order.task)).then_some(TASK_TIME);
+                let time = (!self.is_long_running(&order.task)).then_some(TASK_TIME);
                 let nature = Nature { time, fails: false, crashes: false };
                 let life = self.workers.get_mut(&target.id).filter(|_| reach(&target.id));
                 let start = |life: &mut Life| life.start(target.token, order, nature, now);
                 let result = life.map_or(Err(gone()), start);
                 if result.is_ok() {
-                    self.meet_culprit(owner, &target.id, order.task);
+                    self.crash_by_culprit(owner, &target.id, order.task);
                 }
                 Some(Answer::Started(target.id.clone(), order.task, order.run, result))
             }
@@ -109,40 +112,42 @@
         }
     }
 
-    /// A task that crashes its workers does so as soon as it is started.
-    fn meet_culprit(&mut self, owner: usize, id: &WorkerId, task: TaskId) {
+    /// Lets a task that crashes its workers do so as soon as it is started.
+    fn crash_by_culprit(&mut self, owner: usize, id: &WorkerId, task: TaskId) {
         let now = self.now;
-        let counts = self.owners[owner].is_in_touch(now);
+        let counts = self.owners[owner].is_undisturbed(now);
         let Some(culprit) = self.culprits.get_mut(&task) else {
             return;
         };
         culprit.late_starts += u32::from(culprit.crashes >= 3 && counts);
         culprit.crashes += 1;
-        self.judge();
+        self.check_invariants();
         self.crash(id);
-        self.push(REBOOT_TIME, Event::Join);
+        self.push(REPLACEMENT_DELAY, Event::Join);
     }
 
-    fn tell_over(&mut self, id: &WorkerId) {
+    fn report_dead(&mut self, id: &WorkerId) {
         let now = self.now;
-        for owner in self.owners.iter_mut().filter(|owner| owner.alive && owner.frozen <= now) {
+        for owner in self.owners.iter_mut().filter(|owner| owner.alive && owner.paused_until <= now)
+        {
             owner.pool.worker_died(id, DeathEvidence::Unhosted, Tick(now));
         }
-        let thaw = self.owners.iter().filter(|owner| owner.alive).map(|owner| owner.frozen).max();
-        if let Some(thaw) = thaw.filter(|thaw| *thaw > now) {
-            self.push(thaw - now + 1, Event::Over(id.clone()));
+        let resume =
+            self.owners.iter().filter(|owner| owner.alive).map(|owner| owner.paused_until).max();
+        if let Some(resume) = resume.filter(|resume| *resume > now) {
+            self.push(resume - now + 1, Event::Dead(id.clone()));
         }
     }
 
-    fn hear(&mut self, place: usize, answer: Answer) {
+    fn receive(&mut self, place: usize, answer: Answer) {
         let now = Tick(self.now);
         let owner = &mut self.owners[place];
         if !owner.alive {
             return;
         }
-        if owner.frozen > self.now {
-            let thaw = owner.frozen - self.now + 1;
-            self.push(thaw, Event::Answer { owner: place, answer });
+        if owner.paused_until > self.now {
+            let resume = owner.paused_until - self.now + 1;
+            self.push(resume, Event::Answer { owner: place, answer });
             return;
         }
         match answer {
--- a/reachhead_jobs/tests/random_schedules/simulation/plans.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/plans.rs
@@ -1,4 +1,4 @@
-//! The jobs that clients of a walk hand in.
+//! Jobs that clients submit in a schedule.
 
 use std::sync::Arc;
 
--- a/reachhead_jobs/tests/random_schedules/simulation/takeover.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/takeover.rs
@@ -1,4 +1,4 @@
-//! Processes that take the pool over, as a whole or up to a point.
+//! Complete and partial takeovers of the pool by new processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,14 +22,14 @@
     size::{FencingToken, Millis, Revision},
 };
 
-use super::{Event, Owner, STEP, Site, pool_name, timeouts};
+use super::{Event, Owner, STEP, Simulation, pool_name, timeouts};
 
 fn fence(token: FencingToken, shard: Shard) -> Fence {
     Fence::new(pool_name(), shard, token, "n".parse().unwrap())
 }
 
-impl Site {
-    /// A new process takes the lease, whatever the owner before is doing.
+impl Simulation {
+    /// Lets a new process take the lease, whatever the previous owner is doing.
     pub(super) fn take_over(&mut self) {
         let verified = Tick(self.now);
         let mut found = RecoveredState {
@@ -59,11 +59,11 @@
             pool,
             token: Revision(token.0),
             recording: BTreeSet::new(),
-            frozen: 0,
+            paused_until: 0,
             alive: true,
-            cut: BTreeMap::new(),
-            blind: 0,
-            since: self.now,
+            workers_cut: BTreeMap::new(),
+            store_cut_until: 0,
+            owner_since: self.now,
         });
         self.list();
     }
@@ -82,7 +82,7 @@
         (FencingToken(token.0), term)
     }
 
-    /// Raises the fence of a part; time passes before each transaction arrives.
+    /// Raises the fence of a shard; time passes before each transaction arrives.
     fn raise(&mut self, token: FencingToken, shard: Shard) -> Option<Revision> {
         let fence = fence(token, shard);
         let mut found = self.read(fence_key(&pool_name(), shard));
@@ -100,9 +100,10 @@
         }
     }
 
-    /// A process begins to take over and is killed or paused between two parts; the transaction that it had just
-    /// sent arrives much later. Another one takes over meanwhile, and the paused one goes on after it.
-    pub(super) fn half_take_over(&mut self, parts: usize, delay: u64) {
+    /// Lets a process begin a takeover that is interrupted between two shards. The fence
+    /// transaction that it had just sent arrives much later. Another process takes over meanwhile,
+    /// and then the interrupted one continues.
+    pub(super) fn take_over_partially(&mut self, parts: usize, delay: u64) {
         let (token, _) = self.take_lease();
         let mut shards = Shard::all();
         for shard in shards.by_ref().take(parts) {
--- a/reachhead_jobs/tests/relay.rs
+++ b/reachhead_jobs/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Tables that processes pass on to each other.
+//! Tests of the change log through which processes relay store tables.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -19,14 +19,14 @@
     Change { row, deleted }
 }
 
-/// A table as somebody follows it.
+/// A follower's copy of a table.
 #[derive(Default)]
-struct Followed {
+struct Follower {
     rows: BTreeMap<Key, Revision>,
     at: Revision,
 }
 
-impl Followed {
+impl Follower {
     fn apply(&mut self, page: &FeedPage) {
         for change in &page.changes {
             if change.deleted {
@@ -38,7 +38,7 @@
         self.at = page.revision;
     }
 
-    fn ask(&mut self, log: &TableChangeLog) {
+    fn update(&mut self, log: &TableChangeLog) {
         match log.since(self.at) {
             Some(page) => self.apply(&page),
             None => {
@@ -49,15 +49,15 @@
     }
 }
 
-/// Whoever asks a process instead of the store ends with the same table, however far behind it was, whether it began at the store or
-/// there, and whether or not a change was told twice.
+/// A follower of a relay ends with the table of the store, however far behind it was, whether it
+/// started from the store or the relay, and whether or not a change was delivered twice.
 #[test]
-fn a_table_that_is_passed_on_is_the_table() {
+fn followers_of_a_relay_see_the_table_of_the_store() {
     fn holds(acts: Vec<(u8, bool, u8)>) -> bool {
         let mut table: BTreeMap<Key, Revision> = BTreeMap::new();
         let mut log = TableChangeLog::new(FeedPage { changes: Vec::new(), revision: Revision(0) });
-        let (mut near, mut far) = (Followed::default(), Followed::default());
-        let mut told: Vec<Change> = Vec::new();
+        let (mut near, mut far) = (Follower::default(), Follower::default());
+        let mut delivered: Vec<Change> = Vec::new();
         for (number, (key, deleted, act)) in (1_u64..).zip(acts.iter().cycle().take(200)) {
             let change = change(key % 8, number, *deleted);
             if *deleted {
@@ -65,23 +65,23 @@
             } else {
                 table.insert(change.row.key.clone(), change.row.revision);
             }
-            told.push(change);
-            // The last change is told twice now and then.
-            let from = told.len().saturating_sub(1 + usize::from(act % 2));
-            log.record(&told[from..], Revision(number));
+            delivered.push(change);
+            // Some changes are delivered twice.
+            let from = delivered.len().saturating_sub(1 + usize::from(act % 2));
+            log.record(&delivered[from..], Revision(number));
             if act % 3 == 0 {
-                near.ask(&log);
+                near.update(&log);
             }
         }
-        near.ask(&log);
-        far.ask(&log);
+        near.update(&log);
+        far.update(&log);
         near.rows == table && far.rows == table
     }
     check("relay", 300, holds as fn(Vec<(u8, bool, u8)>) -> bool);
 }
 
 #[test]
-fn who_is_too_far_behind_gets_the_whole_table() {
+fn a_follower_too_far_behind_gets_the_whole_table() {
     let mut log =
         TableChangeLog::new(FeedPage { changes: vec![change(1, 5, false)], revision: Revision(9) });
     assert_eq!(log.since(Revision(8)), None, "what came before the log is not known");
