--- a/reachhead_jobs/src/authority.rs
+++ b/reachhead_jobs/src/authority.rs
@@ -108,8 +108,9 @@
     /// holder that released the lease has no order in flight; one that denies holding it, long
     /// after it took it, has ended or was restarted.
     fn overlap_wait(&self) -> Millis {
-        let has_ended =
-            self.disclaimed_at.is_some_and(|denied| denied.since(self.since) >= MIN_SETTLED_TIME);
+        let has_ended = self
+            .disclaimed_at
+            .is_some_and(|disclaimed_at| disclaimed_at.since(self.since) >= MIN_SETTLED_TIME);
         if self.record.owner.is_none() || self.is_self || has_ended {
             return Millis(0);
         }
--- a/reachhead_jobs/src/balance/mod.rs
+++ b/reachhead_jobs/src/balance/mod.rs
@@ -83,7 +83,7 @@
     demands: Vec<HostDemand>,
     /// When a host was first seen in its current pool.
     arrived: BTreeMap<HostId, Tick>,
-    place: BTreeMap<HostId, PoolName>,
+    current_pool: BTreeMap<HostId, PoolName>,
     /// Since when a host has been up without a usable worker.
     absent: BTreeMap<HostId, Tick>,
     scale_down: ScaleDown,
@@ -184,8 +184,8 @@
 
     fn record_arrivals(&mut self, hosts: &BTreeMap<HostId, PlatformHost>, now: Tick) {
         for host in hosts.values() {
-            let known = self.place.insert(host.host.clone(), host.pool.clone());
-            if known.is_some_and(|known| known != host.pool) {
+            let previous = self.current_pool.insert(host.host.clone(), host.pool.clone());
+            if previous.is_some_and(|previous| previous != host.pool) {
                 self.arrived.insert(host.host.clone(), now);
             }
         }
@@ -255,16 +255,16 @@
     /// other pools.
     fn fill(&self, accounts: &mut [Account], off: &mut Vec<Move>, moves: &mut Vec<Move>) {
         let mut order: Vec<usize> = (0..accounts.len()).collect();
-        order.sort_by_key(|&place| {
-            std::cmp::Reverse(accounts[place].want.saturating_sub(accounts[place].have))
+        order.sort_by_key(|&index| {
+            std::cmp::Reverse(accounts[index].want.saturating_sub(accounts[index].have))
         });
-        for place in order {
-            while accounts[place].have < accounts[place].want {
+        for index in order {
+            while accounts[index].have < accounts[index].want {
                 let Some(mut step) = off.pop().or_else(|| surplus(accounts)) else {
                     return;
                 };
-                step.to = accounts[place].pool.clone();
-                accounts[place].have += 1;
+                step.to = accounts[index].pool.clone();
+                accounts[index].have += 1;
                 moves.push(step);
             }
         }
@@ -301,9 +301,9 @@
     let pinned = usable(load).filter(|load| load.pinned).count();
     let extra = load.extra as usize;
     let base = MIN_HOSTS.max(pinned).max(load.least as usize);
-    let whole = with_margin(load.need);
+    let total = with_margin(load.need);
     let hosts = |cores: u64| hosts_for(cores, load, size).max(base) + extra;
-    Claim { base: base + extra, timely: hosts(load.timely.min(whole)), total: hosts(whole) }
+    Claim { base: base + extra, timely: hosts(load.timely.min(total)), total: hosts(total) }
 }
 
 /// Returns how many hosts provide this many thousandths of a core. The pool's own workers count
--- a/reachhead_jobs/src/balance/scale_down.rs
+++ b/reachhead_jobs/src/balance/scale_down.rs
@@ -42,7 +42,7 @@
     /// When its first work was seen, in milliseconds since 1970.
     #[serde(rename = "begun")]
     pub active_since: Option<Millis>,
-    /// Most hosts that its work filled within the memory time.
+    /// Most hosts that its work filled within the history window.
     #[serde(rename = "most")]
     pub peak: usize,
     /// When that peak was, in milliseconds since 1970.
@@ -92,14 +92,14 @@
 impl ScaleDown {
     /// Returns the history as a record for the successor.
     pub(super) fn record(&self, clock: ClockPair) -> UsageRecord {
-        let pools = self.pools.iter().filter_map(|(pool, used)| {
-            let &(at, most) = used.peaks.front()?;
-            let begun = used.active_since.map(|begun| clock.wall_at(begun));
+        let pools = self.pools.iter().filter_map(|(pool, history)| {
+            let &(at, most) = history.peaks.front()?;
+            let since = history.active_since.map(|since| clock.wall_at(since));
             Some((
                 pool.clone(),
                 PoolUsage {
-                    first: used.first,
-                    active_since: begun,
+                    first: history.first,
+                    active_since: since,
                     peak: most,
                     peak_at: clock.wall_at(at),
                 },
@@ -111,23 +111,23 @@
     /// Merges the record of a predecessor into the history.
     pub(super) fn restore(&mut self, record: &UsageRecord, clock: ClockPair) {
         for (pool, stored) in &record.pools {
-            let used = self.pools.entry(pool.clone()).or_default();
-            used.first = used.first.max(stored.first);
-            used.active_since =
-                stored.active_since.map(|begun| clock.tick_at(begun)).or(used.active_since);
-            if used.peaks.front().is_none_or(|(_, most)| *most < stored.peak) {
-                used.peaks.push_front((clock.tick_at(stored.peak_at), stored.peak));
+            let history = self.pools.entry(pool.clone()).or_default();
+            history.first = history.first.max(stored.first);
+            history.active_since =
+                stored.active_since.map(|since| clock.tick_at(since)).or(history.active_since);
+            if history.peaks.front().is_none_or(|(_, peak)| *peak < stored.peak) {
+                history.peaks.push_front((clock.tick_at(stored.peak_at), stored.peak));
             }
         }
     }
 
-    /// Drops pools that no owner reports any more and whose usage is older than the memory time.
+    /// Drops pools that no owner reports any more and whose usage is older than the history window.
     fn prune(&mut self, accounts: &[Account], cost: Millis, now: Tick) {
         let is_there = |pool: &PoolName| accounts.iter().any(|account| account.pool == *pool);
-        let is_recent = |used: &UsageHistory| {
-            used.peaks.back().is_some_and(|(at, _)| now.since(*at) <= history_window(cost))
+        let is_recent = |history: &UsageHistory| {
+            history.peaks.back().is_some_and(|(at, _)| now.since(*at) <= history_window(cost))
         };
-        self.pools.retain(|pool, used| is_there(pool) || is_recent(used));
+        self.pools.retain(|pool, history| is_there(pool) || is_recent(history));
     }
 
     /// Returns the moves that switch hosts off, taking turns between pools, since the platform's
@@ -143,9 +143,9 @@
         let mut candidates: Vec<Vec<&Move>> = Vec::new();
         for account in accounts {
             candidates.push(account.drained_hosts.iter().collect());
-            let used = self.pools.entry(account.pool.clone()).or_default();
-            used.observe(account, cost, now);
-            let extra = account.have.saturating_sub(used.hosts_to_keep(account, cost, now));
+            let history = self.pools.entry(account.pool.clone()).or_default();
+            history.observe(account, cost, now);
+            let extra = account.have.saturating_sub(history.hosts_to_keep(account, cost, now));
             if extra == 0 {
                 self.surplus_since.remove(&account.pool);
                 continue;
@@ -157,7 +157,7 @@
         }
         let longest = candidates.iter().map(Vec::len).max().unwrap_or_default();
         let turns =
-            (0..longest).flat_map(|place| candidates.iter().filter_map(move |of| of.get(place)));
+            (0..longest).flat_map(|index| candidates.iter().filter_map(move |of| of.get(index)));
         turns.map(|step| Move { to: spare.clone(), ..(*step).clone() }).collect()
     }
 }
@@ -194,7 +194,7 @@
     /// Returns the reserve of hosts for unknown work, which shrinks with the time since the first
     /// work.
     fn reserve(&self, cost: Millis, now: Tick) -> usize {
-        let age = self.active_since.map_or(Millis(0), |begun| now.since(begun));
+        let age = self.active_since.map_or(Millis(0), |since| now.since(since));
         let left = cost.0.saturating_sub(age.0);
         (self.first as u64 * left).div_ceil(cost.0 * RESERVE_DIVISOR) as usize
     }
@@ -205,9 +205,9 @@
 /// all hosts, shared by them. Below the time for which hosts are left idle anyway it does not
 /// count.
 pub fn restart_cost(hosts: usize, rate: f64) -> Millis {
-    let whole =
+    let all_moves =
         if rate > 0.0 { Millis((hosts as f64 / rate * MS_PER_SECOND) as u64) } else { Millis(0) };
-    if whole <= MIN_IDLE { Millis(0) } else { Millis(2 * whole.0) }
+    if all_moves <= MIN_IDLE { Millis(0) } else { Millis(2 * all_moves.0) }
 }
 
 /// Returns how long usage is remembered. A host that is kept idle for as long as `cost` has cost as
--- a/reachhead_jobs/src/candidate.rs
+++ b/reachhead_jobs/src/candidate.rs
@@ -19,7 +19,7 @@
 /// Delay between consecutive candidates, so that usually only one of them writes.
 const RANK_DELAY: Millis = Millis(60);
 
-/// Candidates that are delayed one by one. Those with a lower rank, and processes that are not
+/// Candidates that are delayed one by one. Those further behind, and processes that are not
 /// members, come after all of these and within [`SPREAD`]: however many hosts are lost together,
 /// the next owner takes over within the same time.
 const MAX_RANK: usize = 10;
@@ -94,9 +94,9 @@
     others: impl Iterator<Item = Candidate<'a>>,
 ) -> Millis {
     let others: Vec<Candidate<'a>> = others.collect();
-    let outmatched =
+    let is_outmatched =
         others.iter().any(|other| other.precedes(own, pool) && other.is_much_stronger(own));
-    let weak = if outmatched { WEAK_DELAY } else { Millis(0) };
+    let weak = if is_outmatched { WEAK_DELAY } else { Millis(0) };
     let rank = count_preferred(pool, own, others.into_iter());
     let ranked = RANK_DELAY.0 * rank.min(MAX_RANK) as u64;
     if member && rank < MAX_RANK {
--- a/reachhead_jobs/src/division.rs
+++ b/reachhead_jobs/src/division.rs
@@ -34,20 +34,20 @@
     let mut shares = vec![0; claims.len()];
     let mut left = hosts;
     for level in LEVELS {
-        let most: Vec<usize> = claims.iter().map(level).collect();
-        left -= raise(&mut shares, &most, left);
+        let caps: Vec<usize> = claims.iter().map(level).collect();
+        left -= raise(&mut shares, &caps, left);
     }
     shares
 }
 
-/// Raises shares towards `most` by `left` hosts in total, the smallest first; returns how many were
+/// Raises shares towards `caps` by `left` hosts in total, the smallest first; returns how many were
 /// given.
-fn raise(shares: &mut [usize], most: &[usize], left: usize) -> usize {
+fn raise(shares: &mut [usize], caps: &[usize], left: usize) -> usize {
     let reached = |level: usize| -> usize {
-        let after = shares.iter().zip(most).map(|(share, most)| min(*most, level).max(*share));
+        let after = shares.iter().zip(caps).map(|(share, cap)| min(*cap, level).max(*share));
         after.sum::<usize>() - shares.iter().sum::<usize>()
     };
-    let top = most.iter().copied().max().unwrap_or(0);
+    let top = caps.iter().copied().max().unwrap_or(0);
     // Find the highest common number that the hosts suffice for.
     let (mut low, mut high) = (0, top);
     while low < high {
@@ -55,12 +55,12 @@
         if reached(mid) <= left { low = mid } else { high = mid - 1 }
     }
     let mut given = reached(low);
-    for (share, most) in shares.iter_mut().zip(most) {
-        *share = min(*most, low).max(*share);
+    for (share, cap) in shares.iter_mut().zip(caps) {
+        *share = min(*cap, low).max(*share);
     }
     // The remainder is less than one host for each pool that could use more.
-    for (share, most) in shares.iter_mut().zip(most) {
-        if given < left && *share == low && *share < *most {
+    for (share, cap) in shares.iter_mut().zip(caps) {
+        if given < left && *share == low && *share < *cap {
             *share += 1;
             given += 1;
         }
--- a/reachhead_jobs/src/job.rs
+++ b/reachhead_jobs/src/job.rs
@@ -140,7 +140,7 @@
     /// `certain`.
     pub fn missing_siblings(&self, index: u32, certain: impl Fn(&Run) -> bool) -> u32 {
         let works = |run: &Run| run.at_work() && certain(run);
-        let others = (0..).zip(&self.tasks).filter(|(place, _)| *place != index);
+        let others = (0..).zip(&self.tasks).filter(|(other, _)| *other != index);
         others.filter(|(_, task)| !task.runs.iter().any(works)).count() as u32
     }
 }
@@ -220,8 +220,8 @@
                 }
             }
             let occurrence = self.due;
-            for (place, step) in self.plan.steps.iter().enumerate() {
-                let id = StepId { job: self.id, occurrence, step: place as u32 };
+            for (index, step) in self.plan.steps.iter().enumerate() {
+                let id = StepId { job: self.id, occurrence, step: index as u32 };
                 self.steps.entry(id).or_insert_with(|| StepState::new(step.count));
             }
             self.due += 1;
--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -196,8 +196,8 @@
             }
             let waiting = state.tasks.iter().filter(|task| !task.done && task.runs.is_empty());
             remaining.work += per_task * waiting.count() as f64;
-            let before = step.after.iter().filter_map(|&earlier| ends.get(earlier as usize));
-            let end = before.copied().max().unwrap_or(0) + time.0;
+            let earlier_ends = step.after.iter().filter_map(|&earlier| ends.get(earlier as usize));
+            let end = earlier_ends.copied().max().unwrap_or(0) + time.0;
             if let Some(slot) = ends.get_mut(id.step as usize) {
                 *slot = end;
             }
--- a/reachhead_jobs/src/place.rs
+++ b/reachhead_jobs/src/place.rs
@@ -41,15 +41,16 @@
 impl PlacementRequest<'_> {
     /// Returns whether the worker may run the task, apart from its free capacity.
     pub fn is_allowed(&self, worker: &Worker, now: Tick) -> bool {
-        let labelled =
+        let has_label =
             self.step.label.as_ref().is_none_or(|label| worker.info.labels.contains(label));
-        labelled && worker.accepts(now) && self.is_within_spread(worker)
+        has_label && worker.accepts(now) && self.is_within_spread(worker)
     }
 
     /// Returns whether the worker may run the task and has the capacity for it.
     pub fn fits(&self, worker: &Worker, now: Tick) -> bool {
-        let reserved =
-            worker.reserved.is_some_and(|kept| kept.until > now && kept.step != self.step_id);
+        let reserved = worker
+            .reserved
+            .is_some_and(|reservation| reservation.until > now && reservation.step != self.step_id);
         let duplicate = self.task.is_some_and(|task| worker.runs.contains_key(&task));
         !reserved
             && !duplicate
@@ -110,9 +111,11 @@
 
 /// Returns the worker with the lowest cost among those that fit.
 pub fn choose_worker<'a>(
-    wanted: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     workers: impl Iterator<Item = &'a Worker>,
     now: Tick,
 ) -> Option<&'a Worker> {
-    workers.filter(|worker| wanted.fits(worker, now)).min_by_key(|worker| wanted.cost(worker, now))
+    workers
+        .filter(|worker| request.fits(worker, now))
+        .min_by_key(|worker| request.cost(worker, now))
 }
--- a/reachhead_jobs/src/quota/allowance.rs
+++ b/reachhead_jobs/src/quota/allowance.rs
@@ -89,9 +89,10 @@
 
     /// Applies limits, unless they are for another owner or older than the known ones.
     pub fn apply(&mut self, allotment: &Allotment, owner: FencingToken) {
-        let newer = (allotment.ledger, allotment.round) > (self.ledger, self.round);
-        let replaced = self.successor.is_some_and(|successor| successor.ledger > allotment.ledger);
-        if !newer || replaced {
+        let is_newer = (allotment.ledger, allotment.round) > (self.ledger, self.round);
+        let is_replaced =
+            self.successor.is_some_and(|successor| successor.ledger > allotment.ledger);
+        if !is_newer || is_replaced {
             return;
         }
         (self.ledger, self.round) = (allotment.ledger, allotment.round);
@@ -130,8 +131,8 @@
         let after = used.plus(need);
         // A lowered quota applies at once, before the ledger has divided it. A task larger than the
         // whole quota may run alone.
-        let lowered = quota.allows(after) || used == Amount::default();
-        within(quota, after, limit) && lowered
+        let within_lowered = quota.allows(after) || used == Amount::default();
+        within(quota, after, limit) && within_lowered
     }
 
     /// Returns what a customer may still start, in thousandths of a core.
--- a/reachhead_jobs/src/quota/ledger.rs
+++ b/reachhead_jobs/src/quota/ledger.rs
@@ -139,18 +139,18 @@
         let Some(account) = self.accounts.get_mut(pool) else {
             return false;
         };
-        let new_owner = account.owner != Some(report.owner);
+        let is_new_owner = account.owner != Some(report.owner);
         // A report on an earlier round may predate the delivery of a later message. Of a new owner
         // a full report is always usable.
-        let usable = if new_owner { report.whole } else { sent.round == self.round };
+        let usable = if is_new_owner { report.whole } else { sent.round == self.round };
         if !usable {
             return false;
         }
         account.take(sent.round, report, now);
-        if new_owner {
+        if is_new_owner {
             self.settled.clear();
         }
-        new_owner
+        is_new_owner
     }
 
     /// Returns the limits of a customer that change, and counts them as held.
@@ -226,7 +226,7 @@
                 used: usage.used.only(quota.0),
                 wanted: usage.wanted.only(quota.0),
                 next: usage.next.only(quota.0),
-                short: account.waiting.get(customer).copied(),
+                waiting_since: account.waiting.get(customer).copied(),
             }
         };
         let claims: Vec<Claim> = pools.iter().map(claim).collect();
--- a/reachhead_jobs/src/quota/share.rs
+++ b/reachhead_jobs/src/quota/share.rs
@@ -14,7 +14,7 @@
     /// Resources of the next such task.
     pub next: Amount,
     /// Since when the limit has left no room for that task.
-    pub short: Option<Tick>,
+    pub waiting_since: Option<Tick>,
 }
 
 /// Returns the share of each pool. Together they are at most the quota, except for one task that is
@@ -39,16 +39,16 @@
 fn give_tasks(shares: &mut [Amount], claims: &[Claim], left: Amount) -> Amount {
     let mut left = left;
     let mut order: Vec<usize> = (0..claims.len()).collect();
-    order.sort_by_key(|&place| claims[place].short);
+    order.sort_by_key(|&index| claims[index].waiting_since);
     let mut is_idle = claims.iter().all(|claim| claim.used == Amount::default());
-    for place in order {
-        let next = claims[place].next;
+    for index in order {
+        let next = claims[index].next;
         if next == Amount::default() {
             continue;
         }
         // A task larger than the whole quota may run alone.
         if next.fits(left) || is_idle {
-            shares[place] = shares[place].plus(next);
+            shares[index] = shares[index].plus(next);
             left = left.minus(next);
             is_idle = false;
         }
@@ -56,24 +56,24 @@
     left
 }
 
-/// Raises shares towards `most` by `left` in total, each resource to a common level (max-min fair);
+/// Raises shares towards `caps` by `left` in total, each resource to a common level (max-min fair);
 /// returns what is left.
-fn raise(shares: &mut [Amount], most: &[Amount], left: Amount) -> Amount {
+fn raise(shares: &mut [Amount], caps: &[Amount], left: Amount) -> Amount {
     let level =
         |of: fn(&Amount) -> u64, left: u64, set: fn(&mut Amount, u64), shares: &mut [Amount]| {
             let mut low = 0;
-            let mut high = most.iter().map(of).max().unwrap_or(0);
+            let mut high = caps.iter().map(of).max().unwrap_or(0);
             let given = |level: u64, shares: &[Amount]| -> u64 {
-                let each = shares.iter().zip(most);
-                each.map(|(share, most)| of(most).min(level).saturating_sub(of(share))).sum()
+                let each = shares.iter().zip(caps);
+                each.map(|(share, cap)| of(cap).min(level).saturating_sub(of(share))).sum()
             };
             while low < high {
                 let mid = low + (high - low).div_ceil(2);
                 if given(mid, shares) <= left { low = mid } else { high = mid - 1 }
             }
             let spent = given(low, shares);
-            for (share, most) in shares.iter_mut().zip(most) {
-                let raised = of(most).min(low).max(of(share));
+            for (share, cap) in shares.iter_mut().zip(caps) {
+                let raised = of(cap).min(low).max(of(share));
                 set(share, raised);
             }
             left - spent
--- a/reachhead_jobs/src/shard.rs
+++ b/reachhead_jobs/src/shard.rs
@@ -9,7 +9,7 @@
 use reachhead_types::id::JobId;
 
 /// Number of shards of each pool. More of them cost more calls, as fewer jobs share a transaction.
-const COUNT: u64 = 4;
+const SHARDS_PER_POOL: u64 = 4;
 
 /// A shard of a pool's jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -18,12 +18,12 @@
 impl Shard {
     /// Returns the shard of a job.
     pub const fn of(job: JobId) -> Self {
-        Self(job.0 % COUNT)
+        Self(job.0 % SHARDS_PER_POOL)
     }
 
     /// Returns all shards.
     pub fn all() -> impl Iterator<Item = Self> + Clone {
-        (0..COUNT).map(Self)
+        (0..SHARDS_PER_POOL).map(Self)
     }
 }
 
--- a/reachhead_jobs/src/wave.rs
+++ b/reachhead_jobs/src/wave.rs
@@ -112,8 +112,8 @@
     pub fn next(&mut self, hosts: &BTreeMap<HostId, PlatformHost>, now: Tick) -> WaveStep {
         let mut step = WaveStep::default();
         self.down.retain(|host, since| {
-            let up = hosts.get(host).is_none_or(|host| host.state == PlatformHostState::Up);
-            !up || now.since(*since) < MIN_DOWN_TIME
+            let is_up = hosts.get(host).is_none_or(|host| host.state == PlatformHostState::Up);
+            !is_up || now.since(*since) < MIN_DOWN_TIME
         });
         let pending: Vec<HostId> = self
             .order
@@ -158,8 +158,12 @@
     /// Returns how to treat short tasks on a host that is being drained.
     pub fn drain_mode(&self, host: &HostId, now: Tick) -> DrainMode {
         let waited = self.draining.get(host).map_or(Millis(0), |since| now.since(*since));
-        let late = now.since(self.since).0 * 100 > self.order.within.0 * FORCE_DRAIN_PERCENT;
-        if late || waited >= MAX_SHORT_TASK_DELAY { DrainMode::Forced } else { DrainMode::Graceful }
+        let is_late = now.since(self.since).0 * 100 > self.order.within.0 * FORCE_DRAIN_PERCENT;
+        if is_late || waited >= MAX_SHORT_TASK_DELAY {
+            DrainMode::Forced
+        } else {
+            DrainMode::Graceful
+        }
     }
 
     /// Records that a draining host can't be taken yet. Returns for how long it has been draining
--- a/reachhead_jobs/src/worker.rs
+++ b/reachhead_jobs/src/worker.rs
@@ -285,7 +285,7 @@
     /// incarnation is there by then.
     pub fn record_unanswered(&mut self, at: Tick) {
         self.unanswered_at = Some(at);
-        if self.restarted_at.is_some_and(|reborn| at.since(reborn) < MAX_ORDER_DELAY) {
+        if self.restarted_at.is_some_and(|restarted| at.since(restarted) < MAX_ORDER_DELAY) {
             self.suspend_until_calls_expire();
         }
     }
--- a/reachhead_jobs/tests/quota/simulation.rs
+++ b/reachhead_jobs/tests/quota/simulation.rs
@@ -26,8 +26,8 @@
 /// Longest duration of a task, in milliseconds.
 const MAX_TASK_TIME: u64 = 2500;
 
-pub fn pool(place: usize) -> PoolName {
-    format!("p{place}").parse().unwrap()
+pub fn pool(index: usize) -> PoolName {
+    format!("p{index}").parse().unwrap()
 }
 
 pub fn customer() -> CustomerName {
@@ -142,12 +142,12 @@
         for tasks in &mut self.tasks {
             tasks.retain(|task| task.ends > self.now);
         }
-        let place = self.draw(POOLS as u64) as usize;
+        let index = self.draw(POOLS as u64) as usize;
         match self.draw(100) {
             0 if self.faults => self.replace_ledger(),
-            1 if self.faults => self.replace_owner(place),
+            1 if self.faults => self.replace_owner(index),
             2 if self.faults => self.change_quota(),
-            3..=45 => self.start(place),
+            3..=45 => self.start(index),
             46..=60 if self.faults => self.deliver_delayed(),
             _ => {
                 let all = self.ledgers.len() as u64;
@@ -167,40 +167,40 @@
     }
 
     /// Replaces an owner by one that knows what runs, or may run, of the jobs that it finds.
-    fn replace_owner(&mut self, place: usize) {
+    fn replace_owner(&mut self, index: usize) {
         self.tokens += 1;
         let mut owner = Owner::new(self.tokens, self.quota, self.now);
         // It has seen the leases as they were when it wrote its own.
         let newest = self.ledgers[self.ledgers.len() - 1].token;
         owner.limits.observe_ledger(FencingToken(newest), Tick(self.now));
-        self.owners[place] = owner;
+        self.owners[index] = owner;
     }
 
     /// Lets owners read the leases now and then, at the latest when the last read is too old.
     fn read_leases(&mut self) {
         let newest = self.ledgers[self.ledgers.len() - 1].token;
-        for place in 0..POOLS {
+        for index in 0..POOLS {
             let due =
-                self.draw(20) == 0 || self.now - self.owners[place].leases_read > MAX_LEASE_AGE / 2;
+                self.draw(20) == 0 || self.now - self.owners[index].leases_read > MAX_LEASE_AGE / 2;
             if due {
-                self.owners[place].leases_read = self.now;
-                self.owners[place].limits.observe_ledger(FencingToken(newest), Tick(self.now));
+                self.owners[index].leases_read = self.now;
+                self.owners[index].limits.observe_ledger(FencingToken(newest), Tick(self.now));
             }
         }
     }
 
-    fn used(&self, place: usize) -> u64 {
-        self.tasks[place].iter().map(|task| task.cores).sum()
+    fn used(&self, index: usize) -> u64 {
+        self.tasks[index].iter().map(|task| task.cores).sum()
     }
 
-    fn start(&mut self, place: usize) {
+    fn start(&mut self, index: usize) {
         let need = 300 + 100 * self.draw(20);
-        self.start_task(place, need);
+        self.start_task(index, need);
     }
 
-    fn start_task(&mut self, place: usize, need: u64) {
-        let used = self.used(place);
-        let owner = &mut self.owners[place];
+    fn start_task(&mut self, index: usize, need: u64) {
+        let used = self.used(index);
+        let owner = &mut self.owners[index];
         owner.limits.expire(Tick(self.now));
         if !owner.limits.allows(&customer(), cores(used), cores(need)) {
             owner.rejected_need = need;
@@ -208,18 +208,18 @@
         }
         owner.rejected_need = 0;
         let ends = self.now + 100 + self.draw(MAX_TASK_TIME - 100);
-        let before: u64 = (0..POOLS).map(|pool| self.used(pool)).sum();
-        self.tasks[place].push(Task { cores: need, ends });
+        let already_used: u64 = (0..POOLS).map(|pool| self.used(pool)).sum();
+        self.tasks[index].push(Task { cores: need, ends });
         self.started += 1;
         let recent = self.quotas.iter().rev().scan(false, |over, (at, quota)| {
             let counts = !*over;
             *over = self.now - at > MAX_TASK_TIME;
             counts.then_some(*quota)
         });
-        let most = recent.max().unwrap();
+        let max_quota = recent.max().unwrap();
         assert!(
-            before + need <= most || before == 0,
-            "{need} start in pool {place} at {} beside {before} of {most}",
+            already_used + need <= max_quota || already_used == 0,
+            "{need} start in pool {index} at {} beside {already_used} of {max_quota}",
             self.now
         );
     }
@@ -240,8 +240,8 @@
         let now = Tick(self.now);
         let messages = self.ledgers[ledger].ledger.round(pools.iter(), &customers, now);
         let mut reports = Vec::new();
-        for (place, (name, allotment)) in messages.into_iter().enumerate() {
-            let message = Message { pool: place, allotment };
+        for (index, (name, allotment)) in messages.into_iter().enumerate() {
+            let message = Message { pool: index, allotment };
             match if self.faults { self.draw(10) } else { 9 } {
                 // The message and its answer are lost, or the message is delayed.
                 0 => {}
@@ -265,8 +265,8 @@
     fn deliver_delayed(&mut self) {
         if !self.delayed.is_empty() {
             let count = self.delayed.len() as u64;
-            let place = self.draw(count) as usize;
-            let message = self.delayed.swap_remove(place);
+            let index = self.draw(count) as usize;
+            let message = self.delayed.swap_remove(index);
             self.answer(&message);
         }
     }
@@ -282,14 +282,14 @@
 
     /// Returns whether a task starts in a pool within a few rounds while the customer uses next to
     /// nothing.
-    pub fn starts_soon(&mut self, place: usize) -> bool {
+    pub fn starts_soon(&mut self, index: usize) -> bool {
         self.tasks = vec![Vec::new(); POOLS];
         for owner in &mut self.owners {
             owner.rejected_need = 0;
         }
         let started = self.started;
         for _ in 0..4 {
-            self.start_task(place, self.quota / 2);
+            self.start_task(index, self.quota / 2);
             if self.started > started {
                 return true;
             }
--- a/reachhead_jobs/tests/random_schedules/simulation.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation.rs
@@ -422,15 +422,15 @@
     }
 
     fn poll_owners(&mut self) {
-        for place in 0..self.owners.len() {
+        for index in 0..self.owners.len() {
             let now = Tick(self.now);
-            let owner = &mut self.owners[place];
+            let owner = &mut self.owners[index];
             if !owner.alive || owner.paused_until > self.now {
                 continue;
             }
             if owner.store_cut_until <= self.now {
                 let lease = self.read(lease_key(&pool_name())).map(|row| row.revision);
-                let owner = &mut self.owners[place];
+                let owner = &mut self.owners[index];
                 if lease == Some(owner.token) {
                     owner.pool.verify(now);
                 } else if self.now >= self.lease_changed + LEASE_NOTICE_DELAY {
@@ -438,7 +438,7 @@
                     continue;
                 }
             }
-            let owner = &mut self.owners[place];
+            let owner = &mut self.owners[index];
             let actions = owner.pool.poll(now, Millis(now.0));
             owner.pool.take_notes();
             if actions.contains(&Action::Fenced) {
@@ -446,18 +446,18 @@
                 continue;
             }
             for action in actions {
-                self.send(place, action, now);
+                self.send(index, action, now);
             }
-            self.record(place, now);
+            self.record(index, now);
         }
     }
 
-    fn record(&mut self, place: usize, now: Tick) {
-        if self.owners[place].store_cut_until > now.0 {
+    fn record(&mut self, index: usize, now: Tick) {
+        if self.owners[index].store_cut_until > now.0 {
             return;
         }
-        for Due { lane, .. } in self.owners[place].pool.due() {
-            let owner = &mut self.owners[place];
+        for Due { lane, .. } in self.owners[index].pool.due() {
+            let owner = &mut self.owners[index];
             if owner.recording.contains(&lane) {
                 continue;
             }
@@ -465,12 +465,12 @@
             owner.recording.insert(lane);
             let (lost, delay) = self.fault();
             let event =
-                Event::Commit { owner: place, batch: Box::new(batch.clone()), answered: !lost };
+                Event::Commit { owner: index, batch: Box::new(batch.clone()), answered: !lost };
             self.push(NETWORK_DELAY + delay, event);
             if lost {
-                let result = Err(StoreError::Lost("the walk loses it".to_owned()));
+                let result = Err(StoreError::Lost("lost by the simulation".to_owned()));
                 let answer = Answer::Committed(Box::new(batch), result);
-                self.push(200, Event::Answer { owner: place, answer });
+                self.push(200, Event::Answer { owner: index, answer });
             }
         }
     }
--- a/reachhead_jobs/tests/random_schedules/simulation/messages.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/messages.rs
@@ -29,10 +29,10 @@
         self.events.insert((self.now + delay, self.count), event);
     }
 
-    pub(super) fn send(&mut self, place: usize, action: Action, sent: Tick) {
+    pub(super) fn send(&mut self, index: usize, action: Action, sent: Tick) {
         let (lost, delay) = self.fault();
         if lost {
-            let failure = || WorkerError::Lost("the walk loses it".to_owned());
+            let failure = || WorkerError::Lost("lost by the simulation".to_owned());
             let answer = match &action {
                 Action::Hold(target, _) => Answer::Held(target.id.clone(), sent, Err(failure())),
                 Action::Start(target, order) => {
@@ -43,11 +43,11 @@
                 }
                 _ => return,
             };
-            self.push(200, Event::Answer { owner: place, answer });
+            self.push(200, Event::Answer { owner: index, answer });
         }
         self.push(
             NETWORK_DELAY + delay,
-            Event::Order { owner: place, action, sent, answered: !lost },
+            Event::Order { owner: index, action, sent, answered: !lost },
         );
     }
 
@@ -115,11 +115,11 @@
     /// Lets a task that crashes its workers do so as soon as it is started.
     fn crash_by_culprit(&mut self, owner: usize, id: &WorkerId, task: TaskId) {
         let now = self.now;
-        let counts = self.owners[owner].is_undisturbed(now);
+        let is_counted = self.owners[owner].is_undisturbed(now);
         let Some(culprit) = self.culprits.get_mut(&task) else {
             return;
         };
-        culprit.late_starts += u32::from(culprit.crashes >= 3 && counts);
+        culprit.late_starts += u32::from(culprit.crashes >= 3 && is_counted);
         culprit.crashes += 1;
         self.check_invariants();
         self.crash(id);
@@ -139,15 +139,15 @@
         }
     }
 
-    fn receive(&mut self, place: usize, answer: Answer) {
+    fn receive(&mut self, index: usize, answer: Answer) {
         let now = Tick(self.now);
-        let owner = &mut self.owners[place];
+        let owner = &mut self.owners[index];
         if !owner.alive {
             return;
         }
         if owner.paused_until > self.now {
             let resume = owner.paused_until - self.now + 1;
-            self.push(resume, Event::Answer { owner: place, answer });
+            self.push(resume, Event::Answer { owner: index, answer });
             return;
         }
         match answer {
