--- /dev/null
+++ b/reachhead_jobs/tests/random_schedules/main.rs
@@ -0,0 +1,59 @@
+//! Random schedules of faults against the real owner of a pool: owners that are killed, paused or
+//! partitioned from the store or workers, workers that crash, and orders and transactions that are
+//! lost or carried out much later.
+
+#![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
+
+mod simulation;
+
+use reachhead_property::check;
+
+use crate::simulation::Simulation;
+
+/// Number of schedules. A mistake that takes a late order and an ownership change shows up within
+/// some tens of them.
+const SCHEDULES: u64 = 300;
+
+/// Maximum number of acts in a schedule; longer lists only repeat.
+const MAX_ACTS: usize = 40;
+
+/// Performs the acts and returns whether the simulation settles without a violated invariant.
+fn holds(mut simulation: Simulation, acts: Vec<(u8, u8, u8)>) -> bool {
+    for act in acts.into_iter().take(MAX_ACTS) {
+        simulation.act(act);
+    }
+    let settled = simulation.settle();
+    if !settled || !simulation.violations.is_empty() {
+        eprintln!("settled: {settled}, violations: {:?}", simulation.violations);
+    }
+    settled && simulation.violations.is_empty()
+}
+
+#[test]
+fn no_task_runs_twice_or_is_lost_under_failures() {
+    fn run(acts: Vec<(u8, u8, u8)>) -> bool {
+        holds(Simulation::new(), acts)
+    }
+    check("jobs", SCHEDULES, run as fn(Vec<(u8, u8, u8)>) -> bool);
+}
+
+/// Schedules with tasks that crash every worker: they are given up soon, though ownership changes
+/// and successors only know what was stored, and no other job is.
+#[test]
+fn only_tasks_that_crash_workers_are_given_up() {
+    fn run(acts: Vec<(u8, u8, u8)>) -> bool {
+        holds(Simulation::new().with_crashes(), acts)
+    }
+    check("crashes", SCHEDULES, run as fn(Vec<(u8, u8, u8)>) -> bool);
+}
+
+/// Workers restart under their ids, and orders for the previous incarnation arrive at the new one.
+/// Guards against mistaking the new incarnation for the previous one: it was told to forget ends
+/// that nobody had read, and its first ends counted as known.
+#[test]
+fn no_task_runs_twice_or_is_lost_when_workers_restart_under_their_ids() {
+    fn run(acts: Vec<(u8, u8, u8)>) -> bool {
+        holds(Simulation::new().with_restarts(), acts)
+    }
+    check("restarts", SCHEDULES, run as fn(Vec<(u8, u8, u8)>) -> bool);
+}
