--- a/reachhead_jobs/src/lib.rs
+++ b/reachhead_jobs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Jobs on the workers of a pool: their model, their life cycle and who runs where.
+//! Scheduling of jobs on the workers of a pool: data model, job life cycle, placement, leases.
 //!
-//! Everything here is plain logic over explicit state and time; docs/PLATFORM.md tells how the
-//! programs use it.
+//! The crate is pure logic over explicit state and time, without I/O. docs/PLATFORM.md describes
+//! how the programs use it.
 
 pub mod authority;
 pub mod backoff;
@@ -12,6 +12,7 @@
 pub mod customer;
 pub mod dead_workers;
 pub mod division;
+pub mod expiring_budget;
 pub mod fence;
 pub mod job;
 pub mod liveness;
@@ -26,7 +27,6 @@
 pub mod record;
 pub mod registry;
 pub mod relay;
-pub mod rescue;
 pub mod shard;
 pub mod task;
 pub mod wave;
--- a/reachhead_jobs/src/pool/adopt.rs
+++ b/reachhead_jobs/src/pool/recover.rs
@@ -1,4 +1,4 @@
-//! Taking charge of a pool that a predecessor left.
+//! Recovery of a predecessor's jobs, workers and runs after an ownership change.
 
 use reachhead_plan::amount::Amount;
 use reachhead_types::{id::WorkerId, size::Millis};
@@ -6,41 +6,42 @@
 use crate::{
     clock::Tick,
     job::{Job, Phase, Run},
-    pool::{Action, NoteKind, Pending, Pool, StoredJob},
+    pool::{Action, NoteKind, PendingWorker, Pool, StoredJob},
     ports::{RunningEntry, WorkerInfo},
     worker::Worker,
 };
 
 impl Pool {
-    pub(super) fn inherit_job(&mut self, stored: StoredJob, now: Tick, wall: Millis) {
+    pub(super) fn recover_job(&mut self, stored: StoredJob, now: Tick, wall: Millis) {
         let age = Millis(wall.0.saturating_sub(stored.record.accepted.0));
-        self.experience.admit(&stored.record.queue.name, &stored.record.plan);
-        self.fills |= stored.record.plan.has_fills();
+        self.estimator.observe_job(&stored.record.queue.name, &stored.record.plan);
+        self.has_best_effort |= stored.record.plan.has_best_effort();
         let mut job = Job::new(stored.id, &stored.record, now - age);
         job.row = Some(stored.row);
-        job.inherited = true;
-        job.unfold(wall);
+        job.recovered = true;
+        job.add_due_occurrences(wall);
         if let Some(progress) = stored.progress {
             job.restore(&progress.record);
             job.revision = Some(progress.revision);
         }
         self.jobs.insert(job.id, job);
-        self.settle(stored.id);
+        self.decide_ending(stored.id);
     }
 
-    /// Every worker that the predecessor may have used has to answer the new token, or its leases
-    /// have to lapse, before an inherited task that nobody reports is started again.
-    pub(super) fn inherit_workers(&mut self, effect: Millis, now: Tick) {
+    /// Creates the workers that the predecessor may have used, as pending. Each has to answer the
+    /// new token, or its leases have to expire, before a recovered task that no worker reports is
+    /// restarted.
+    pub(super) fn recover_workers(&mut self, effect: Millis, now: Tick) {
         let until = now + effect;
         for (id, stored) in self.roster.stored.workers.clone() {
             let Some(entry) = stored.entry else {
-                // Where it answers is not known, so nobody can be asked what runs there before it registers again.
-                self.pending.insert(id, Pending { until, closed: None });
+                // Its address is unknown, so it can't be queried before it registers again.
+                self.pending.insert(id, PendingWorker { until, closed: None });
                 continue;
             };
             let info = WorkerInfo {
                 id: entry.worker.clone(),
-                born: None,
+                started_at: None,
                 pool: self.name.clone(),
                 address: entry.address,
                 zone: unknown_zone(),
@@ -53,23 +54,24 @@
             worker.listed = false;
             worker.rostered = entry.closed.is_none();
             self.workers.insert(entry.worker.clone(), worker);
-            self.pending.insert(entry.worker, Pending { until, closed: entry.closed });
+            self.pending.insert(entry.worker, PendingWorker { until, closed: entry.closed });
         }
     }
 
-    /// Tells whether a task of the job that nobody reports may all the same be at work somewhere.
-    pub(super) fn may_be_elsewhere(&self, job: &Job) -> bool {
-        job.inherited
+    /// Returns whether a task of the job that no worker reports may still run on a pending worker.
+    pub(super) fn may_run_elsewhere(&self, job: &Job) -> bool {
+        job.recovered
             && self.pending.values().any(|pending| match (pending.closed, job.row) {
                 (Some(closed), Some(row)) => row <= closed,
                 _ => true,
             })
     }
 
-    /// A worker reports a run that this owner did not order.
+    /// Adopts a run that a worker reports and that this owner did not order, or stops it as an
+    /// orphan.
     pub(super) fn adopt(&mut self, worker: &WorkerId, entry: &RunningEntry, now: Tick) {
         let Some(job) = self.jobs.get_mut(&entry.task.job) else {
-            self.stop_stray(worker, entry);
+            self.stop_orphan(worker, entry);
             return;
         };
         let over = job.ending.is_some();
@@ -77,13 +79,13 @@
             job.plan.steps.get(entry.task.step as usize).is_some_and(|step| step.speculative);
         let charge = job.plan.steps.get(entry.task.step as usize).map(|step| step.charge());
         let (Some(task), Some(charge)) = (job.task(entry.task), charge) else {
-            self.stop_stray(worker, entry);
+            self.stop_orphan(worker, entry);
             return;
         };
         let other = task.runs.iter().map(|run| run.number).max();
         let stale = !speculative && other.is_some_and(|other| other > entry.run);
         if task.done || over || stale {
-            self.stop_stray(worker, entry);
+            self.stop_orphan(worker, entry);
             return;
         }
         task.last_run = task.last_run.max(entry.run);
@@ -91,26 +93,27 @@
             task.checkpoint = Some(checkpoint.clone());
         }
         let known = self.workers.get_mut(worker);
-        let deadline = known.as_ref().map_or(crate::clock::WorkerTime(0), |known| known.granted);
+        let deadline =
+            known.as_ref().map_or(crate::clock::WorkerTime(0), |known| known.max_deadline);
         task.runs.push(Run {
             number: entry.run,
             worker: worker.clone(),
             phase: Phase::Working,
-            since: now,
-            settled: Some(now),
+            ordered_at: now,
+            settled_at: Some(now),
             deadline,
-            doubtful: false,
-            asking: false,
-            retry: now,
+            unconfirmed: false,
+            order_in_flight: false,
+            retry_at: now,
             percent: entry.percent,
-            moved: now,
-            seen_at: now,
-            figure: entry.figure,
-            pace: 100,
+            progressed_at: now,
+            last_reported: now,
+            metric: entry.metric,
+            pace_percent: 100,
             ticket: None,
             adopted: true,
         });
-        job.begun = true;
+        job.started = true;
         if let Some(known) = known {
             known.charge(entry.task, entry.run, charge);
         }
@@ -120,8 +123,8 @@
         );
     }
 
-    /// Stops a run that belongs to no task that should run.
-    fn stop_stray(&mut self, worker: &WorkerId, entry: &RunningEntry) {
+    /// Stops a reported run that belongs to no task that should run.
+    fn stop_orphan(&mut self, worker: &WorkerId, entry: &RunningEntry) {
         let Some(known) = self.workers.get(worker) else {
             return;
         };
@@ -137,10 +140,11 @@
     }
 }
 
-/// A worker that only the roster names is never placed on, so its zone does not matter.
+/// Returns a placeholder zone. A worker known from the roster alone is never placed on, so its zone
+/// does not matter.
 fn unknown_zone() -> reachhead_types::id::ZoneName {
     match "unknown".parse() {
         Ok(zone) => zone,
-        Err(error) => unreachable!("a constant name: {error}"),
+        Err(error) => unreachable!("constant zone name is invalid: {error}"),
     }
 }
--- /dev/null
+++ b/reachhead_jobs/src/pool/restarted_worker.rs
@@ -0,0 +1,120 @@
+//! Restarted workers: a new incarnation of a worker under the same id.
+//!
+//! Workers crash and are back within a second or two, often before the crash is noticed. The new
+//! incarnation has no runs, and its clock and the numbers of its ends start over: mistaken for the
+//! old one, it would be allowed to drop ends that have not been read.
+
+use reachhead_types::{id::WorkerId, size::Millis};
+
+use crate::{
+    clock::{Tick, WorkerTime},
+    job::Phase,
+    pool::{Action, NoteKind, Pool},
+    ports::WorkerReport,
+    task::TaskId,
+    worker::{LostOrder, Speed},
+};
+
+/// Age up to which an incarnation may have received orders meant for the previous one, from a
+/// process that had not noticed the restart.
+const YOUNG_INCARNATION_AGE: Millis = Millis(20_000);
+
+/// Returns whether the incarnation started at `started` is newer than the one started at `known`.
+/// Unknown start times count as the same incarnation.
+pub(super) fn is_newer(started: Option<Millis>, known: Option<Millis>) -> bool {
+    matches!((started, known), (Some(started), Some(known)) if started > known)
+}
+
+impl Pool {
+    /// Replaces the known incarnation of a worker by the one that sent `report`. The runs of the
+    /// old one have ended as in a crash. Unanswered orders may still reach the new one, so they are
+    /// barred there.
+    pub(super) fn begin_incarnation(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
+        let Some(worker) = self.workers.get(id) else {
+            return;
+        };
+        let known = worker.started_at;
+        let mut suspects = self.crash_suspects(worker);
+        suspects.extend(worker.crash_suspects.iter().copied());
+        let worker = worker.clone();
+        if !worker.runs.is_empty() {
+            self.log_crash(&worker, now);
+        }
+        let runs = worker.runs.clone();
+        let planned = worker.info.draining || worker.cordoned_until > now;
+        for (task, charge) in runs {
+            let kept =
+                report.running.iter().any(|entry| entry.task == task && entry.run == charge.run);
+            if !kept && !self.bar_run(task, id) {
+                self.remove_run(id, task, charge.run);
+            }
+        }
+        self.bar_lost_orders(id);
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.started_at = report.started_at;
+            worker.last_processed = 0;
+            worker.acknowledged = 0;
+            worker.unrecorded.clear();
+            // The answered call had a deadline by the old clock, for which a worker grants its
+            // longest lease.
+            worker.max_deadline = WorkerTime(report.clock.0 + self.timeouts.grant.0);
+            worker.speed = Speed::new(now);
+            worker.begin_incarnation(now);
+        }
+        self.review = true;
+        self.note(
+            NoteKind::WorkerDoubted,
+            format!(
+                "worker={id} born={:?} before={known:?} why=\"it has started again\"",
+                report.started_at
+            ),
+        );
+        if !planned {
+            for suspect in suspects {
+                self.count_crash(suspect);
+            }
+        }
+    }
+
+    /// Processes a worker's first report. A predecessor may have mistaken a young incarnation for
+    /// the previous one, and have extended its lease by the old clock.
+    pub(super) fn apply_first_report(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
+        let (epoch, grant) = (self.wall_offset, self.timeouts.grant);
+        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.answered) else {
+            return;
+        };
+        let age = report.started_at.map(|born| Millis((epoch.0 + now.0).saturating_sub(born.0)));
+        if age.is_some_and(|age| age < YOUNG_INCARNATION_AGE) {
+            worker.max_deadline = worker.max_deadline.max(WorkerTime(report.clock.0 + grant.0));
+        }
+    }
+
+    /// Bars ended runs whose start orders may still arrive, since the new incarnation does not know
+    /// them.
+    fn bar_lost_orders(&mut self, id: &WorkerId) {
+        let Some(worker) = self.workers.get(id) else {
+            return;
+        };
+        let over = |lost: &&LostOrder| {
+            worker.runs.get(&lost.task).is_none_or(|charge| charge.run != lost.run)
+        };
+        let lost: Vec<LostOrder> = worker.lost_orders.iter().filter(over).copied().collect();
+        let target = self.target(worker);
+        for LostOrder { task, run, .. } in lost {
+            self.actions.push(Action::Stop(target.clone(), task, run));
+        }
+    }
+
+    /// Bars a run whose start order may still arrive, and returns whether there was one.
+    fn bar_run(&mut self, id: TaskId, worker: &WorkerId) -> bool {
+        let task = self.jobs.get_mut(&id.job).and_then(|job| job.task(id));
+        let run = task.and_then(|task| task.runs.iter_mut().find(|run| run.worker == *worker));
+        let Some(run) = run.filter(|run| run.settled_at.is_none() || run.unconfirmed) else {
+            return false;
+        };
+        run.settled_at = None;
+        run.phase = Phase::Stopping;
+        run.retry_at = Tick(0);
+        true
+    }
+}
--- a/reachhead_jobs/tests/walk/site/takeover.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/takeover.rs
@@ -1,4 +1,4 @@
-//! Processes that take the pool over, as a whole or up to a point.
+//! Complete and partial takeovers of the pool by new processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,14 +22,14 @@
     size::{FencingToken, Millis, Revision},
 };
 
-use super::{Event, Owner, STEP, Site, pool_name, timeouts};
+use super::{Event, Owner, STEP, Simulation, pool_name, timeouts};
 
 fn fence(token: FencingToken, shard: Shard) -> Fence {
     Fence::new(pool_name(), shard, token, "n".parse().unwrap())
 }
 
-impl Site {
-    /// A new process takes the lease, whatever the owner before is doing.
+impl Simulation {
+    /// Lets a new process take the lease, whatever the previous owner is doing.
     pub(super) fn take_over(&mut self) {
         let verified = Tick(self.now);
         let mut found = RecoveredState {
@@ -59,11 +59,11 @@
             pool,
             token: Revision(token.0),
             recording: BTreeSet::new(),
-            frozen: 0,
+            paused_until: 0,
             alive: true,
-            cut: BTreeMap::new(),
-            blind: 0,
-            since: self.now,
+            workers_cut: BTreeMap::new(),
+            store_cut_until: 0,
+            owner_since: self.now,
         });
         self.list();
     }
@@ -72,7 +72,8 @@
         let key = lease_key(&pool_name());
         let known = self.read(key.clone());
         let term = known.as_ref().map_or(0, |row| row.parse::<LeaseRecord>().unwrap().term + 1);
-        let record = LeaseRecord { owner: None, address: None, term, settled: false, open: None };
+        let record =
+            LeaseRecord { owner: None, address: None, term, settled: false, unsettled_for: None };
         let txn = Txn::new()
             .with_check(key.clone(), known.as_ref().map(|row| row.revision))
             .with_write(key, value(&record));
@@ -81,7 +82,7 @@
         (FencingToken(token.0), term)
     }
 
-    /// Raises the fence of a part; time passes before each transaction arrives.
+    /// Raises the fence of a shard; time passes before each transaction arrives.
     fn raise(&mut self, token: FencingToken, shard: Shard) -> Option<Revision> {
         let fence = fence(token, shard);
         let mut found = self.read(fence_key(&pool_name(), shard));
@@ -99,9 +100,10 @@
         }
     }
 
-    /// A process begins to take over and is killed or paused between two parts; the transaction that it had just
-    /// sent arrives much later. Another one takes over meanwhile, and the paused one goes on after it.
-    pub(super) fn half_take_over(&mut self, parts: usize, delay: u64) {
+    /// Lets a process begin a takeover that is interrupted between two shards. The fence
+    /// transaction that it had just sent arrives much later. Another process takes over meanwhile,
+    /// and then the interrupted one continues.
+    pub(super) fn take_over_partially(&mut self, parts: usize, delay: u64) {
         let (token, _) = self.take_lease();
         let mut shards = Shard::all();
         for shard in shards.by_ref().take(parts) {
--- /dev/null
+++ b/reachhead_node/src/election.rs
@@ -0,0 +1,376 @@
+//! Elects pool owners: detects pools without a live owner, takes their leases and starts their
+//! owners.
+
+use std::{collections::BTreeMap, sync::Arc, time::Duration};
+
+use reachhead_jobs::{
+    candidate::{self, Candidate},
+    clock::{Tick, with_drift},
+    liveness::StoreReachability,
+    model::PoolPolicy,
+    pool::{Pool, PoolTimeouts, RecoveredState},
+};
+use reachhead_ops::event::{Event, emit};
+use reachhead_types::{
+    id::PoolName,
+    size::{FencingToken, Millis, Revision},
+};
+use tokio::{task::JoinHandle, time};
+
+use crate::{
+    fleet,
+    node::Node,
+    owner::{Owner, OwnerHandle},
+    takeover::{self, Loader},
+    view::LeaseView,
+};
+
+/// Interval between two checks of the leases.
+const CHECK_PERIOD: Duration = Duration::from_millis(50);
+
+/// Silence of an owner after which its pools are taken over: longer than a usual pause of a slow or
+/// frozen process, and short enough that workers' leases outlast the ownership change.
+const OWNER_TIMEOUT: Millis = Millis(1100);
+
+/// Maximum age of the store's last answer to this process for it to take a pool: longer than the
+/// polls of a followed table, which are the only calls of an idle process.
+const MAX_STORE_AGE: Millis = Millis(1600);
+
+/// Gap between two checks from which this process counts as delayed itself.
+const DELAYED_CHECK_GAP: Millis = Millis(250);
+
+/// How long a process waits after its start before it takes pools, so that the processes learn of
+/// each other.
+const START_DELAY: Millis = Millis(300);
+
+/// The same if the membership list was empty: the first member would otherwise take all pools and
+/// hand them over to the others one by one.
+const FIRST_START_DELAY: Millis = Millis(3000);
+
+/// How long an owner keeps giving orders without a confirmation of its lease. With a worker's lease
+/// after it, runs outlast an outage of the store of about eight seconds; a successor that can't
+/// reach a worker has to wait for the same time.
+pub const LEASE_TRUST_TIME: Millis = Millis(4000);
+
+/// Maximum lease granted to workers, whatever they accept: a task is delayed by this time when its
+/// worker is lost, and the lease has to outlast an ownership change.
+pub const MAX_WORKER_LEASE: Millis = Millis(4500);
+
+/// Pause before the rows of a pool are read again after a failure.
+const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(100);
+
+/// Duration of a long poll at a worker: well below half of the lease, and at most what the platform
+/// allows.
+const POLL_WAIT: Millis = Millis(1500);
+
+/// Takes pools for as long as the process runs.
+pub async fn run(node: Arc<Node>) {
+    let mut election = Election {
+        started: node.now(),
+        watching_since: node.now(),
+        vacant_since: BTreeMap::new(),
+        takeovers: BTreeMap::new(),
+        logged: BTreeMap::new(),
+        last: node.now(),
+        last_delayed: Tick(0),
+        node,
+    };
+    loop {
+        time::sleep(CHECK_PERIOD).await;
+        if !election.node.is_stopping() {
+            election.check_pools();
+        }
+    }
+}
+
+struct Election {
+    node: Arc<Node>,
+    started: Tick,
+    /// Since when this process watches the owners. Silence of an owner before that is no evidence.
+    watching_since: Tick,
+    /// Since when each pool has had no live owner, as this process sees it.
+    vacant_since: BTreeMap<PoolName, Tick>,
+    /// Pools being taken over. They run concurrently: after a restart of all processes each takes
+    /// several, and the jobs of the last pool would wait for all the others.
+    takeovers: BTreeMap<PoolName, JoinHandle<()>>,
+    /// The lease of each pool whose owner was last logged as lost, so that each loss is logged
+    /// once.
+    logged: BTreeMap<PoolName, Revision>,
+    /// When this process last checked the leases.
+    last: Tick,
+    /// When this process was last delayed itself. Silence of others around that time is no
+    /// evidence: an overloaded process would otherwise take the pools of healthy ones.
+    last_delayed: Tick,
+}
+
+impl Election {
+    fn check_pools(&mut self) {
+        let now = self.node.now();
+        if now.since(std::mem::replace(&mut self.last, now)) >= DELAYED_CHECK_GAP {
+            self.last_delayed = now;
+        }
+        if !self.node.view().is_watching_owners(&self.node.settings.node, now) {
+            self.watching_since = now;
+        }
+        self.takeovers.retain(|_, takeover| !takeover.is_finished());
+        let start_delay =
+            if self.node.view().started_without_members { FIRST_START_DELAY } else { START_DELAY };
+        let early = now.since(self.started) < start_delay;
+        let Some(config) = self.node.view().config.clone() else {
+            return;
+        };
+        let mut pools: Vec<PoolName> =
+            config.pools.values().map(|pool| pool.name.clone()).collect();
+        if fleet::is_needed(&self.node) {
+            pools.push(fleet::name());
+        }
+        for pool in pools {
+            if self.takeovers.contains_key(&pool) {
+                continue;
+            }
+            let own = self.is_own(&pool);
+            if early && !own {
+                continue;
+            }
+            if self.is_vacant(&pool, now) {
+                let since = *self.vacant_since.entry(pool.clone()).or_insert(now);
+                self.log_vacant_once(&pool, now);
+                if own || now.since(since) >= self.candidate_delay(&pool) {
+                    self.vacant_since.remove(&pool);
+                    let known = self.node.view().leases.get(&pool).cloned();
+                    let policy = config.pools.get(&pool).cloned();
+                    let task = take_over(Arc::clone(&self.node), pool.clone(), policy, known);
+                    self.takeovers.insert(pool, tokio::spawn(task));
+                }
+            } else {
+                self.vacant_since.remove(&pool);
+            }
+        }
+    }
+
+    /// Returns whether a pool's lease names this process. No other process takes such a pool before
+    /// its owner has been silent, so a restarted process takes its own pools without delay; that
+    /// shortens the wait of jobs after a power loss of all processes.
+    fn is_own(&self, pool: &PoolName) -> bool {
+        let view = self.node.view();
+        let owner = view.leases.get(pool).and_then(|lease| lease.record.owner.as_ref());
+        owner == Some(&self.node.settings.node)
+    }
+
+    /// Logs that a pool's owner seems to be lost, once for each lease.
+    fn log_vacant_once(&mut self, pool: &PoolName, now: Tick) {
+        let revision = self.node.view().leases.get(pool).map(|lease| lease.revision);
+        if let Some(revision) = revision
+            && self.logged.insert(pool.clone(), revision) != Some(revision)
+        {
+            self.node.log_vacant_pool(pool, now);
+        }
+    }
+
+    /// Returns whether a pool seems to have no live owner.
+    fn is_vacant(&self, pool: &PoolName, now: Tick) -> bool {
+        let node = &self.node;
+        if node.owned().contains_key(pool) {
+            return false;
+        }
+        let view = node.view();
+        if now.since(view.store_answered_at) > MAX_STORE_AGE {
+            return false;
+        }
+        let Some(lease) = view.leases.get(pool) else {
+            return now.since(view.leases_current_at) < Millis(2 * LEASE_TRUST_TIME.0);
+        };
+        let Some(owner) = &lease.record.owner else {
+            return true;
+        };
+        if *owner == node.settings.node {
+            return true;
+        }
+        let status = view.peers.get(owner);
+        let last = status.map_or(Tick(0), |status| status.at).max(lease.since).max(self.started);
+        let last = last.max(self.last_delayed).max(self.watching_since);
+        if now.since(last) > OWNER_TIMEOUT {
+            return true;
+        }
+        let Some(status) = status.filter(|status| status.at > lease.since) else {
+            return false;
+        };
+        let absent = status.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
+        let not_claimed = absent && now.since(lease.since) > OWNER_TIMEOUT;
+        let reachability =
+            StoreReachability { age: Millis(status.pong.store_age), failing: status.pong.failing };
+        let cut_off = reachability.is_cut_off(now.since(view.store_stable_since));
+        not_claimed || cut_off
+    }
+
+    /// Returns how long this process lets better candidates take a pool first.
+    fn candidate_delay(&self, pool: &PoolName) -> Millis {
+        let node = &self.node;
+        let owned = node.owned().len() + self.takeovers.len();
+        let view = node.view();
+        let own = Candidate { node: &node.settings.node, strength: node.strength(), owned };
+        let others = view
+            .members
+            .iter()
+            .filter(|(other, _)| **other != node.settings.node)
+            .map(|(other, member)| view.candidate(other, &member.record));
+        let member = view.members.contains_key(&node.settings.node);
+        candidate::delay(pool, &own, member, others)
+    }
+}
+
+/// Returns how long orders of the previous owner may still have effect on a worker that does not
+/// answer. A previous owner that gave the pool back, or that is alive and does not own it, gives no
+/// more orders.
+fn order_effect(node: &Node, pool: &PoolName, known: Option<&LeaseView>) -> Millis {
+    let timeouts = timeouts(node);
+    let Some(lease) = known else {
+        return Millis(0);
+    };
+    let Some(owner) = &lease.record.owner else {
+        return timeouts.after_release(&lease.record);
+    };
+    let now = node.now();
+    let view = node.view();
+    let has_yielded = view.peers.get(owner).is_some_and(|status| {
+        let absent = status.pong.owned.get(pool).is_none_or(|token| *token < lease.revision);
+        absent && status.at > lease.since
+    });
+    if has_yielded && now.since(lease.since) >= timeouts.takeover_delay() {
+        with_drift(timeouts.hold)
+    } else {
+        timeouts.takeover_delay()
+    }
+}
+
+/// Takes the lease of a pool, recovers the pool's state and starts its owner.
+async fn take_over(
+    node: Arc<Node>,
+    pool: PoolName,
+    policy: Option<PoolPolicy>,
+    known: Option<LeaseView>,
+) {
+    let lease_sent_at = node.now();
+    let lease = match takeover::take(&node, &pool, known.as_ref()).await {
+        Ok(Some(lease)) => lease,
+        Ok(None) => return,
+        Err(error) => {
+            log::info!("pool={pool} lease can't be taken: {error}");
+            return;
+        }
+    };
+    node.metrics.pools_taken.inc();
+    let (handle, inputs) = OwnerHandle::new(lease.revision);
+    if policy.is_none() {
+        node.owned().insert(pool.clone(), handle.clone());
+        node.pool_acquired.notify_one();
+        tokio::spawn(fleet::run(node, handle, inputs, lease, known));
+        return;
+    }
+    node.loading().insert(pool.clone(), lease.revision);
+    node.pool_acquired.notify_one();
+    let order_effect = order_effect(&node, &pool, known.as_ref());
+    let recovered = load(&node, &pool, lease.revision, order_effect).await;
+    node.loading().remove(&pool);
+    let Some(mut recovered) = recovered else {
+        log::info!(
+            "pool={pool} token={} takeover abandoned, the lease is lost or the process is stopping",
+            lease.revision
+        );
+        return;
+    };
+    recovered.verified = lease_sent_at;
+    emit(
+        Event::LeaseTaken,
+        format_args!(
+            "pool={pool} token={} term={} jobs={} workers={} before={:?}",
+            lease.revision,
+            lease.record.term,
+            recovered.jobs.len(),
+            recovered.roster.workers.len(),
+            known.and_then(|known| known.record.owner)
+        ),
+    );
+    let state = Pool::new(
+        pool.clone(),
+        FencingToken(lease.revision.0),
+        lease.record.term,
+        timeouts(&node),
+        recovered,
+        node.now(),
+        node.clock.wall(),
+    );
+    node.owned().insert(pool.clone(), handle.clone());
+    let owner = Owner::new(Arc::clone(&node), state, lease.record.term, handle.clone(), inputs);
+    tokio::spawn(send_workers(Arc::clone(&node), pool.clone(), handle.clone()));
+    tokio::spawn(async move {
+        owner.run().await;
+        release(&node, &pool, handle.token);
+    });
+}
+
+/// Reads the state that the previous owner left, with retries for as long as the lease names this
+/// process, so that a starting outage of the store does not cause another ownership change.
+async fn load(
+    node: &Node,
+    pool: &PoolName,
+    token: Revision,
+    order_effect: Millis,
+) -> Option<RecoveredState> {
+    let mut loader = Loader::new(node, pool, token, order_effect);
+    loop {
+        match loader.load().await {
+            Ok(recovered) => return recovered,
+            Err(error) => log::info!("pool={pool} rows can't be read, retrying: {error}"),
+        }
+        time::sleep(LOAD_RETRY_PAUSE).await;
+        let held = node.view().leases.get(pool).is_some_and(|lease| lease.revision == token);
+        if !held || node.is_stopping() {
+            return None;
+        }
+    }
+}
+
+/// Removes a pool from those that this process owns.
+pub fn release(node: &Node, pool: &PoolName, token: Revision) {
+    let mut owned = node.owned();
+    if owned.get(pool).is_some_and(|handle| handle.token == token) {
+        owned.remove(pool);
+    }
+    emit(Event::LeaseEnded, format_args!("pool={pool} token={token}"));
+}
+
+/// Sends the pool's workers to its owner whenever the registered workers change.
+async fn send_workers(node: Arc<Node>, pool: PoolName, handle: OwnerHandle) {
+    let mut changed = node.workers_changed.subscribe();
+    loop {
+        if node.local_owner(&pool).is_none_or(|owner| owner.token != handle.token) {
+            return;
+        }
+        let workers = {
+            let view = node.view();
+            let own = view.workers.values().filter(|info| info.pool == pool);
+            view.workers_loaded.then(|| own.cloned().collect())
+        };
+        if let Some(workers) = workers {
+            handle.send(crate::owner::Input::WorkersListed(workers));
+        }
+        if changed.changed().await.is_err() {
+            return;
+        }
+    }
+}
+
+fn timeouts(node: &Node) -> PoolTimeouts {
+    let settings = &node.settings;
+    PoolTimeouts {
+        hold: settings.max_lease.min(MAX_WORKER_LEASE),
+        trust: LEASE_TRUST_TIME,
+        wait: POLL_WAIT,
+        notice: settings.notice_period,
+        gang: settings.gang_timeout,
+        stop: settings.stop_timeout,
+        grant: settings.max_lease,
+        drain: settings.drain_lag,
+    }
+}
--- /dev/null
+++ b/reachhead_node/src/failure_detector.rs
@@ -0,0 +1,142 @@
+//! Failure detection: heartbeats to pool owners, and the status that peers report in their answers.
+//!
+//! Members ping all owners four times a second. Every other process pings one member a second to
+//! check that the members are alive, so the load on an owner does not grow with the number of
+//! hosts. Such a process watches the owners itself only when none of several members answers.
+
+use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
+
+use rand::seq::IteratorRandom;
+use reachhead_jobs::clock::Tick;
+use reachhead_types::{
+    id::{NodeName, PoolName},
+    size::Millis,
+};
+use tokio::time;
+
+use crate::{
+    node::Node,
+    peer::{PeerReply, PeerRequest},
+    view::{PeerStatus, View},
+};
+
+/// Interval between two heartbeat rounds.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(250);
+
+/// Timeout of one heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Interval at which a process that is no member pings a member.
+const MEMBER_PING_PERIOD: Millis = Millis(1000);
+
+/// How long a member's answer counts; by then four other members have been pinged without an
+/// answer.
+const MAX_MEMBER_STATUS_AGE: Millis = Millis(2600);
+
+/// Maximum age of a member's last contact with the store for it to count as able to take over a
+/// pool.
+const MAX_MEMBER_STORE_AGE: Millis = Millis(1800);
+
+/// Maximum number of members that a process without access to the store pings in one round. A few
+/// suffice to learn the owners, and the store may reject hundreds of processes at the same time.
+const MAX_OUTAGE_PINGS: usize = 3;
+
+/// How long a peer's status is kept. No decision uses a status older than this.
+const STATUS_RETENTION: Millis = Millis(20_000);
+
+/// Timeout of the heartbeat to an owner that is sent while a caller waits.
+const OWNER_PING_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// Sends heartbeats to peers for as long as the process runs.
+pub async fn run(node: Arc<Node>) {
+    let mut next_member_ping = Tick(0);
+    loop {
+        time::sleep(HEARTBEAT_PERIOD).await;
+        let now = node.now();
+        for (peer, address) in ping_targets(&node, &mut next_member_ping, now) {
+            let node = Arc::clone(&node);
+            tokio::spawn(async move { ping(&node, peer, address, HEARTBEAT_TIMEOUT).await });
+        }
+        node.view().peers.retain(|_, status| now.since(status.at) < STATUS_RETENTION);
+    }
+}
+
+/// Pings a peer and stores the status that it reports.
+async fn ping(node: &Node, peer: NodeName, address: SocketAddr, deadline: Duration) {
+    if let Ok(PeerReply::Pong(pong)) = node.peers.call(address, &PeerRequest::Ping, deadline).await
+    {
+        let status = PeerStatus { at: node.now(), address, pong };
+        node.view().peers.insert(peer, status);
+    }
+}
+
+/// Returns the peers to ping in this round.
+fn ping_targets(
+    node: &Node,
+    next_member_ping: &mut Tick,
+    now: Tick,
+) -> BTreeMap<NodeName, SocketAddr> {
+    let own = &node.settings.node;
+    let store_outage = node.store_outage().is_some();
+    let view = node.view();
+    let mut targets = BTreeMap::new();
+    if view.is_watching_owners(own, now) || store_outage {
+        targets.extend(view.leases.keys().filter_map(|pool| view.owner(pool)));
+    }
+    // If a member does not answer, the next one is pinged in the next round.
+    let has_live_member =
+        view.last_member_contact(now).is_some_and(|at| now.since(at) < MEMBER_PING_PERIOD);
+    if !view.members.contains_key(own) && (*next_member_ping <= now || !has_live_member) {
+        *next_member_ping = now + MEMBER_PING_PERIOD;
+        targets.extend(random_members(&view, own, 1));
+    }
+    if store_outage {
+        targets.extend(random_members(&view, own, MAX_OUTAGE_PINGS));
+    }
+    targets.remove(own);
+    targets
+}
+
+fn random_members(view: &View, own: &NodeName, count: usize) -> Vec<(NodeName, SocketAddr)> {
+    let others = view.members.iter().filter(|(name, _)| *name != own);
+    let others = others.map(|(name, member)| (name.clone(), member.record.address));
+    others.choose_multiple(&mut rand::rng(), count)
+}
+
+impl View {
+    /// Returns whether this process must detect failed owners itself, because it is a member or no
+    /// member reports that it does so.
+    pub fn is_watching_owners(&self, own: &NodeName, now: Tick) -> bool {
+        self.members.contains_key(own) || self.last_member_contact(now).is_none()
+    }
+
+    /// Returns when a member that can reach the store last answered, if that is recent enough.
+    fn last_member_contact(&self, now: Tick) -> Option<Tick> {
+        let can_take_over = |status: &&PeerStatus| {
+            let pong = &status.pong;
+            !pong.stopping && !pong.failing && pong.store_age <= MAX_MEMBER_STORE_AGE.0
+        };
+        let is_recent = |status: &&PeerStatus| now.since(status.at) <= MAX_MEMBER_STATUS_AGE;
+        let members = self.peers.iter().filter(|(name, _)| self.members.contains_key(*name));
+        members
+            .map(|(_, status)| status)
+            .filter(can_take_over)
+            .filter(is_recent)
+            .map(|status| status.at)
+            .max()
+    }
+}
+
+/// Pings the owner of a pool now, unless this process watches the owners anyway.
+pub async fn check_owner(node: &Node, pool: &PoolName) {
+    let owner = {
+        let view = node.view();
+        if view.is_watching_owners(&node.settings.node, node.now()) {
+            return;
+        }
+        view.owner(pool)
+    };
+    if let Some((owner, address)) = owner.filter(|(owner, _)| *owner != node.settings.node) {
+        ping(node, owner, address, OWNER_PING_TIMEOUT).await;
+    }
+}
--- a/reachhead_node/src/main.rs
+++ b/reachhead_node/src/main.rs
@@ -1,25 +1,25 @@
 //! `reachhead-node`: the process that runs on each entry host of the users' platform.
 
 mod admission;
-mod claims;
 mod clock;
+mod election;
+mod failure_detector;
 mod fleet;
 mod follow;
 mod frontend;
+mod handover;
 mod lock;
-mod mandate;
 mod membership;
 mod metrics;
 mod moves;
 mod node;
 mod observe;
+mod order_permit;
 mod owner;
 mod peer;
 mod process;
 mod registry;
 mod relay;
-mod relief;
-mod sight;
 mod submit;
 mod takeover;
 mod view;
@@ -34,8 +34,9 @@
 use reachhead_platform::settings::Settings;
 use tikv_jemallocator::Jemalloc;
 
-/// A burst makes and drops thousands of small requests and rows a second, which took a sixth of the processes' time with the C
-/// library's allocator (by a profile of bursts on 300 workers). This one needs no more memory.
+/// Bursts allocate and free thousands of small requests and rows a second, which took a sixth of
+/// the processes' time with the C library's allocator (in a profile of bursts on 300 workers).
+/// jemalloc needs no more memory.
 #[global_allocator]
 static ALLOCATOR: Jemalloc = Jemalloc;
 
--- a/reachhead_path/tests/choice.rs
+++ b/reachhead_path/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing a minion, ejection, retry budget.
+//! Load balancing, outlier ejection and the retry budget.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -7,17 +7,17 @@
 use quickcheck::{Arbitrary, Gen};
 use rand::{SeedableRng, rngs::SmallRng};
 use reachhead_path::{
-    eject::{Ejection, FAILURE_LIMIT, FIRST_TERM, LAST_TERM, Step},
+    eject::{Ejection, EjectionChange, FAILURE_LIMIT, MAX_EJECTION_TIME, MIN_EJECTION_TIME},
     pick::{Candidate, choose},
-    retry::{RETRY_RESERVE, RETRY_SHARE, RetryBudget},
+    retry::{MAX_RETRY_TOKENS, RETRIES_PER_SUCCESS, RetryBudget},
 };
 use reachhead_property::properties;
 use reachhead_types::boot_instant::BootInstant;
 
 #[derive(Debug, Clone)]
-struct Any(Candidate);
+struct AnyCandidate(Candidate);
 
-impl Arbitrary for Any {
+impl Arbitrary for AnyCandidate {
     fn arbitrary(g: &mut Gen) -> Self {
         Self(Candidate {
             running: u32::arbitrary(g) % 4,
@@ -29,14 +29,14 @@
     }
 }
 
-/// The naive version: the best rank among the free ones.
+/// The naive implementation: the best rank among the minions with free slots.
 fn best_rank(candidates: &[Candidate]) -> Option<(bool, bool)> {
     let free = candidates.iter().filter(|c| c.is_open && c.running < c.limit);
     free.map(|c| (c.was_tried, !c.is_local)).min()
 }
 
 properties! {
-    fn the_choice_is_free_and_of_the_best_rank(candidates: Vec<Any>, seed: u64) -> bool {
+    fn the_choice_is_free_and_of_the_best_rank(candidates: Vec<AnyCandidate>, seed: u64) -> bool {
         let candidates: Vec<Candidate> = candidates.into_iter().map(|any| any.0).collect();
         let mut rng = SmallRng::seed_from_u64(seed);
         match choose(candidates.iter().copied(), &mut rng) {
@@ -56,33 +56,33 @@
         let mut retries = 0.0;
         for is_success in results {
             if is_success {
-                budget.succeed();
+                budget.record_success();
                 successes += 1.0;
             } else if budget.take() {
                 retries += 1.0;
             }
         }
-        retries <= RETRY_RESERVE + successes * RETRY_SHARE + 1e-6
+        retries <= MAX_RETRY_TOKENS + successes * RETRIES_PER_SUCCESS + 1e-6
     }
 }
 
 #[test]
-fn an_ejected_minion_comes_back_and_is_ejected_longer_each_time() {
+fn consecutive_ejections_double_in_duration_until_a_success() {
     let mut now = BootInstant::now();
     let mut ejection = Ejection::new();
     for _ in 1..FAILURE_LIMIT {
-        assert_eq!(ejection.fail(now), Step::Same);
+        assert_eq!(ejection.record_failure(now), EjectionChange::Unchanged);
     }
-    assert_eq!(ejection.fail(now), Step::Ejected);
-    let mut term = FIRST_TERM;
+    assert_eq!(ejection.record_failure(now), EjectionChange::Ejected);
+    let mut duration = MIN_EJECTION_TIME;
     for _ in 0..10 {
-        assert!(ejection.is_ejected(now + term - Duration::from_millis(1)));
-        now += term;
+        assert!(ejection.is_ejected(now + duration - Duration::from_millis(1)));
+        now += duration;
         assert!(!ejection.is_ejected(now));
-        // On probation one failure is enough.
-        assert_eq!(ejection.fail(now), Step::Ejected);
-        term = (term * 2).min(LAST_TERM);
+        // On probation, a single failure ejects the minion again.
+        assert_eq!(ejection.record_failure(now), EjectionChange::Ejected);
+        duration = (duration * 2).min(MAX_EJECTION_TIME);
     }
-    assert_eq!(ejection.succeed(), Step::Restored);
-    assert_eq!(ejection.fail(now), Step::Same);
+    assert_eq!(ejection.record_success(), EjectionChange::Restored);
+    assert_eq!(ejection.record_failure(now), EjectionChange::Unchanged);
 }
--- a/reachhead_path/tests/share.rs
+++ b/reachhead_path/tests/share.rs
@@ -1,30 +1,32 @@
-//! Slots of a minion split over entry hosts: the sum holds, whatever each host has noticed.
+//! Slots of a minion assigned to entry hosts: no slot is used twice, whichever list each host has.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
 use std::time::Duration;
 
 use quickcheck::TestResult;
-use reachhead_path::share::{ShareHistory, owners, score};
+use reachhead_path::share::{ShareHistory, score, slot_owners};
 use reachhead_property::properties;
 use reachhead_types::{boot_instant::BootInstant, id::Incarnation, member::MemberId};
 
 fn host(number: u8) -> MemberId {
-    stay(number, 0)
+    member(number, 0)
 }
 
-fn stay(number: u8, incarnation: u64) -> MemberId {
+fn member(number: u8, incarnation: u64) -> MemberId {
     MemberId { host: format!("e{number}").parse().unwrap(), incarnation: Incarnation(incarnation) }
 }
 
-/// The naive version: slots one after the other, hosts that have their even part struck out.
+/// The naive implementation: assigns one slot after the other to the hosts without an even share.
 fn naive_owners(hosts: &[MemberId], minion: &str, slots: u32) -> Vec<usize> {
     let mut left: Vec<u32> = vec![slots.div_ceil(hosts.len().max(1) as u32); hosts.len()];
     let mut result = Vec::new();
     for slot in 0..slots {
         let open: Vec<usize> = (0..hosts.len()).filter(|&index| left[index] > 0).collect();
         let winner = open.iter().copied().find(|&one| {
-            open.iter().all(|&other| one == other || wins(&hosts[one], &hosts[other], minion, slot))
+            open.iter().all(|&other| {
+                one == other || has_higher_score(&hosts[one], &hosts[other], minion, slot)
+            })
         });
         if let Some(winner) = winner {
             left[winner] -= 1;
@@ -34,7 +36,7 @@
     result
 }
 
-fn wins(one: &MemberId, other: &MemberId, minion: &str, slot: u32) -> bool {
+fn has_higher_score(one: &MemberId, other: &MemberId, minion: &str, slot: u32) -> bool {
     score(one, minion, slot) > score(other, minion, slot)
 }
 
@@ -42,16 +44,16 @@
     fn owners_are_those_of_the_naive_version(count: u8, slots: u8) -> bool {
         let hosts: Vec<MemberId> = (0..count % 12).map(host).collect();
         let slots = u32::from(slots % 40);
-        owners(&hosts, "alpha/m1", slots) == naive_owners(&hosts, "alpha/m1", slots)
+        slot_owners(&hosts, "alpha/m1", slots) == naive_owners(&hosts, "alpha/m1", slots)
     }
 
     fn parts_are_even_to_within_one_round(count: u8, slots: u8) -> bool {
         let hosts: Vec<MemberId> = (0..count % 12 + 1).map(host).collect();
         let slots = u32::from(slots);
-        let owners = owners(&hosts, "alpha/m1", slots);
-        let even = slots.div_ceil(hosts.len() as u32) as usize;
+        let owners = slot_owners(&hosts, "alpha/m1", slots);
+        let even_share = slots.div_ceil(hosts.len() as u32) as usize;
         (0..hosts.len())
-            .all(|index| owners.iter().filter(|&&owner| owner == index).count() <= even)
+            .all(|index| owners.iter().filter(|&&owner| owner == index).count() <= even_share)
     }
 
     fn hosts_with_one_list_use_each_slot_once(count: u8, slots: u8) -> TestResult {
@@ -63,16 +65,17 @@
             .iter()
             .map(|own| {
                 let mut shares = ShareHistory::new();
-                shares.note(hosts.clone(), Some(own.clone()), now);
-                shares.expire(hold, now + hold);
-                shares.usable("alpha/m1", u32::from(slots))
+                shares.record_list(hosts.clone(), Some(own.clone()), now);
+                shares.expire_lists(hold, now + hold);
+                shares.usable_slots("alpha/m1", u32::from(slots))
             })
             .sum();
         TestResult::from_bool(used == u32::from(slots))
     }
 
-    /// Lists change at random moments and each host notices after its own delay, shorter than half
-    /// the hold; at no moment do two hosts use one slot. A host that comes back is another stay.
+    /// Lists change at random times, and each host notices a change after its own delay, which is
+    /// shorter than half the hold. At no time do two hosts use the same slot. A host that rejoins
+    /// has a new incarnation.
     fn no_slot_is_used_twice_while_lists_change(changes: Vec<(u8, u16)>, delays: Vec<u16>) -> bool {
         const HOLD: u64 = 1000;
         const NOTICE: u64 = HOLD / 2;
@@ -81,7 +84,7 @@
         let mut at = HOLD * 2;
         for (number, (which, gap)) in changes.into_iter().take(6).enumerate() {
             let mut list = lists.last().unwrap().1.clone();
-            let host = stay(which % 6, number as u64 + 1);
+            let host = member(which % 6, number as u64 + 1);
             match list.iter().position(|one| one.host == host.host) {
                 Some(index) => drop(list.remove(index)),
                 None => list.push(host),
@@ -100,7 +103,8 @@
             let now = start + Duration::from_millis(moment);
             let mut used = 0;
             for (number, share) in shares.iter_mut().enumerate() {
-                // The newest list that this host has noticed by now; it may miss some between.
+                // The latest list that this host has noticed by now; it may have missed earlier
+                // ones.
                 let seen = lists
                     .iter()
                     .enumerate()
@@ -110,10 +114,10 @@
                 if let Some(list) = seen {
                     let name = host(number as u8).host;
                     let own = list.iter().find(|member| member.host == name).cloned();
-                    share.note(list.clone(), own, now);
+                    share.record_list(list.clone(), own, now);
                 }
-                share.expire(Duration::from_millis(HOLD), now);
-                used += share.usable("alpha/m1", 8);
+                share.expire_lists(Duration::from_millis(HOLD), now);
+                used += share.usable_slots("alpha/m1", 8);
             }
             used <= 8
         })
@@ -121,46 +125,47 @@
 }
 
 #[test]
-fn a_new_process_uses_nothing_before_the_hold_is_over() {
+fn a_new_process_uses_no_slots_before_the_hold_is_over() {
     let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
-    shares.note(vec![host(1)], Some(host(1)), now);
-    assert_eq!(shares.usable("alpha/m1", 8), 0);
-    assert!(!shares.expire(hold, now + hold / 2));
-    assert!(shares.expire(hold, now + hold));
-    assert_eq!(shares.usable("alpha/m1", 8), 8);
+    shares.record_list(vec![host(1)], Some(host(1)), now);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 0);
+    assert!(!shares.expire_lists(hold, now + hold / 2));
+    assert!(shares.expire_lists(hold, now + hold));
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
 }
 
 #[test]
-fn a_host_off_the_list_stops_at_once() {
+fn a_host_that_is_removed_from_the_list_stops_at_once() {
     let now = BootInstant::now();
     let mut shares = ShareHistory::new();
-    shares.note(vec![host(1), host(2)], Some(host(1)), now);
-    shares.expire(Duration::ZERO, now);
-    assert!(shares.usable("alpha/m1", 64) > 0);
-    shares.note(vec![host(2)], None, now);
-    assert_eq!(shares.usable("alpha/m1", 64), 0);
+    shares.record_list(vec![host(1), host(2)], Some(host(1)), now);
+    shares.expire_lists(Duration::ZERO, now);
+    assert!(shares.usable_slots("alpha/m1", 64) > 0);
+    shares.record_list(vec![host(2)], None, now);
+    assert_eq!(shares.usable_slots("alpha/m1", 64), 0);
 }
 
 #[test]
-fn a_host_that_was_off_the_list_unseen_waits_out_the_hold() {
+fn a_host_that_rejoined_unnoticed_waits_for_the_hold() {
     let now = BootInstant::now();
     let hold = Duration::from_secs(3);
     let mut shares = ShareHistory::new();
-    shares.note(vec![stay(1, 1)], Some(stay(1, 1)), now);
-    shares.expire(hold, now + hold);
-    assert_eq!(shares.usable("alpha/m1", 8), 8);
-    // It was paused, taken off and is back; meanwhile another may have used the slots.
-    shares.note(vec![stay(1, 2)], Some(stay(1, 2)), now + hold);
-    assert_eq!(shares.usable("alpha/m1", 8), 0);
-    shares.expire(hold, now + hold * 2);
-    assert_eq!(shares.usable("alpha/m1", 8), 8);
+    shares.record_list(vec![member(1, 1)], Some(member(1, 1)), now);
+    shares.expire_lists(hold, now + hold);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
+    // The host was paused, removed from the list and has rejoined; another host may have used its
+    // slots in the meantime.
+    shares.record_list(vec![member(1, 2)], Some(member(1, 2)), now + hold);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 0);
+    shares.expire_lists(hold, now + hold * 2);
+    assert_eq!(shares.usable_slots("alpha/m1", 8), 8);
 }
 
-/// Joining and leaving move few slots: what a change moves is out of use for the hold.
+/// A host that joins or leaves moves few slots, since a moved slot is unused for the hold.
 #[test]
-fn a_change_of_one_host_moves_about_its_own_part() {
+fn a_joining_host_moves_about_its_own_share() {
     for count in [3_u8, 6, 9] {
         let before: Vec<MemberId> = (0..count).map(host).collect();
         let after: Vec<MemberId> = (0..=count).map(host).collect();
@@ -168,12 +173,12 @@
         let minions = 100;
         for minion in 0..minions {
             let minion = format!("alpha/m{minion}");
-            let old = owners(&before, &minion, 8);
-            let new = owners(&after, &minion, 8);
+            let old = slot_owners(&before, &minion, 8);
+            let new = slot_owners(&after, &minion, 8);
             moved += (0..8).filter(|&slot| before[old[slot]] != after[new[slot]]).count();
         }
         let share = moved as f64 / f64::from(8 * minions);
-        let own_part = 1.0 / f64::from(count + 1);
-        assert!(share < own_part * 3.0, "{count} hosts: {share:.2} of the slots moved");
+        let own_share = 1.0 / f64::from(count + 1);
+        assert!(share < own_share * 3.0, "{count} hosts: {share:.2} of the slots moved");
     }
 }
