--- a/reachhead_entry/src/connection/accept.rs
+++ b/reachhead_entry/src/connection/accept.rs
@@ -20,12 +20,12 @@
 
 use crate::{
     connection::{
-        stall::Stall,
-        stop::Stop,
-        watch::{Watch, WatchedStream},
+        head_inspector::{Watch, WatchedStream},
+        shutdown::Stop,
+        write_timeout::Stall,
     },
-    process::core::Core,
-    request::{self, reply},
+    process::proxy::Core,
+    request::{self, response},
 };
 
 /// Pause after a failed accept, so that a lack of descriptors is not met by a busy loop.
@@ -144,7 +144,7 @@
 
 /// Answers a head that was too slow: the library ends its connection without a word.
 async fn refuse_slow(mut stream: WatchedStream) {
-    let _ = stream.write_all(reply::too_slow().as_bytes()).await;
+    let _ = stream.write_all(response::too_slow().as_bytes()).await;
     let _ = stream.shutdown().await;
 }
 
--- a/reachhead_entry/src/connection/watch.rs
+++ b/reachhead_entry/src/connection/head_inspector.rs
@@ -18,7 +18,7 @@
     net::TcpStream,
 };
 
-use crate::connection::stall::Stall;
+use crate::connection::write_timeout::Stall;
 
 /// Start of the field that gives a body's length.
 const LENGTH: &[u8] = b"content-length:";
--- a/reachhead_entry/src/connection/mod.rs
+++ b/reachhead_entry/src/connection/mod.rs
@@ -1,7 +1,7 @@
 //! What lives as long as a connection: callers' connections and connections to minions.
 
 pub mod accept;
-pub mod out;
-pub mod stall;
-mod stop;
-pub mod watch;
+pub mod head_inspector;
+pub mod minion_client;
+mod shutdown;
+pub mod write_timeout;
--- a/reachhead_entry/src/main.rs
+++ b/reachhead_entry/src/main.rs
@@ -5,7 +5,7 @@
 mod connection;
 mod process;
 mod request;
-mod version;
+mod route_table;
 
 use std::process::ExitCode;
 
--- a/reachhead_entry/src/process/minion.rs
+++ b/reachhead_entry/src/process/minion.rs
@@ -20,7 +20,7 @@
 };
 use serde::Serialize;
 
-use crate::connection::out::Sender;
+use crate::connection::minion_client::Sender;
 
 /// How long a minion that said it is going away gets nothing new.
 const LEAVING_TERM: Duration = Duration::from_secs(5);
--- a/reachhead_entry/src/process/mod.rs
+++ b/reachhead_entry/src/process/mod.rs
@@ -10,16 +10,16 @@
 //! - `link`: answers other entry hosts.
 //! - `ops`: answers operators.
 
-pub mod asks;
-pub mod claims;
-pub mod core;
-mod follow;
-mod link;
-pub mod loans;
+pub mod claim_writer;
+mod control_follower;
 pub mod metrics;
 pub mod minion;
-mod observed;
+pub mod peer_client;
+mod peer_server;
+pub mod proxy;
 pub mod service;
+pub mod slot_borrower;
+mod status;
 
 use std::{io, rc::Rc, sync::Arc};
 
@@ -41,7 +41,8 @@
 use crate::{
     connection::accept,
     process::{
-        core::Core, follow::Updates, link::Question, metrics::Metrics, observed::EntryObserved,
+        control_follower::Updates, metrics::Metrics, peer_server::Question, proxy::Core,
+        status::EntryObserved,
     },
 };
 
@@ -56,10 +57,10 @@
     let (questions, asked) = mpsc::channel(RING_SIZE);
     let (ready, observed) = EntryObserved::new(questions.clone());
     listener::start(settings.ops.address, Arc::new(observed), registry)?;
-    server::serve(settings.link.ask, link::EntryResponder::new(questions))?;
-    let updates = follow::start(&settings)?;
-    let claims = claims::start(&settings)?;
-    let asks = asks::start(&settings)?;
+    server::serve(settings.link.ask, peer_server::EntryResponder::new(questions))?;
+    let updates = control_follower::start(&settings)?;
+    let claims = claim_writer::start(&settings)?;
+    let asks = peer_client::start(&settings)?;
 
     let runtime = runtime::single()?;
     let core = Core::new(settings, incarnation, metrics, claims, asks, ready);
--- a/reachhead_entry/src/process/link.rs
+++ b/reachhead_entry/src/process/peer_server.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::process::core::Core;
+use crate::process::proxy::Core;
 
 /// Longest wait for the path thread; it is short because askers wait too.
 const ANSWER_TIME: Duration = Duration::from_millis(300);
--- a/reachhead_entry/src/process/core.rs
+++ b/reachhead_entry/src/process/proxy.rs
@@ -19,15 +19,15 @@
 
 use crate::{
     process::{
-        asks::Asks,
-        claims::Claims,
-        follow::Update,
-        loans::Loans,
+        claim_writer::Claims,
+        control_follower::Update,
         metrics::Metrics,
-        observed::{NO_VIEW, Ready},
+        peer_client::Asks,
         service::{ServiceState, Services},
+        slot_borrower::Loans,
+        status::{NO_VIEW, Ready},
     },
-    version::Table,
+    route_table::Table,
 };
 
 /// The path thread's state; only that thread touches it.
--- a/reachhead_entry/src/process/service.rs
+++ b/reachhead_entry/src/process/service.rs
@@ -25,9 +25,9 @@
 use tokio::{sync::oneshot, time};
 
 use crate::process::{
-    follow::Limits,
-    loans::Loans,
+    control_follower::Limits,
     minion::{Minion, MinionReport},
+    slot_borrower::Loans,
 };
 
 /// All services of the configuration in force.
--- a/reachhead_entry/src/process/loans.rs
+++ b/reachhead_entry/src/process/slot_borrower.rs
@@ -13,7 +13,7 @@
 use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 use tokio::{task::spawn_local, time};
 
-use crate::process::{asks::Asks, service::Service};
+use crate::process::{peer_client::Asks, service::Service};
 
 /// Pause between two questions for loans of one service.
 const ASK_PAUSE: Duration = Duration::from_millis(100);
--- a/reachhead_entry/src/process/observed.rs
+++ b/reachhead_entry/src/process/status.rs
@@ -14,7 +14,7 @@
     time,
 };
 
-use crate::process::link::Question;
+use crate::process::peer_server::Question;
 
 /// What is said when the control of this host gives no fresh view.
 pub const NO_VIEW: &str = "no fresh view from the control of this host";
--- a/reachhead_entry/src/request/dispatch.rs
+++ b/reachhead_entry/src/request/dispatch.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    process::{core::Core, service::Permit},
+    process::{proxy::Core, service::Permit},
     request::{
         Arrived,
         send::{self, SendError, SendResult},
--- a/reachhead_entry/src/request/keyed.rs
+++ b/reachhead_entry/src/request/idempotency.rs
@@ -24,11 +24,10 @@
 use tokio::{sync::oneshot, task::spawn_local};
 
 use crate::{
-    process::{claims::ClaimReply, core::Core},
+    process::{claim_writer::ClaimReply, proxy::Core},
     request::{
-        Arrived,
-        body::ReplyBody,
-        dispatch, reply,
+        Arrived, dispatch, response,
+        response_body::ReplyBody,
         send::{SendError, SendResult, SentAnswer, SentBody},
     },
 };
@@ -60,7 +59,7 @@
     let fingerprint = fingerprint(&arrived);
     let lookup = core.attempts.borrow().look_up(&store_key.0, fingerprint);
     match lookup {
-        ClaimLookup::KeyReused => return reply::error(core, ErrorKind::KeyReused),
+        ClaimLookup::KeyReused => return response::error(core, ErrorKind::KeyReused),
         ClaimLookup::Existing(attempt) => return settled(core, own_end(attempt)),
         ClaimLookup::New => {}
     }
@@ -76,7 +75,7 @@
     };
     let (reply, response) = oneshot::channel();
     spawn_local(claim_and_run(Rc::clone(core), arrived, store_key, row, reply));
-    response.await.unwrap_or_else(|_| reply::error(core, ErrorKind::KeyOutcomeLost))
+    response.await.unwrap_or_else(|_| response::error(core, ErrorKind::KeyOutcomeLost))
 }
 
 /// Where the caller waits, if it still does.
@@ -97,14 +96,14 @@
 async fn run_claimed(core: &Rc<Core>, arrived: Arrived, claim: Claim, caller: Caller) {
     let result = dispatch::run(core, &arrived, Some(claim.row.attempt)).await;
     if let Err(SendError::Late(answer)) = result {
-        let _ = caller.send(reply::error(core, ErrorKind::MinionTimeout));
+        let _ = caller.send(response::error(core, ErrorKind::MinionTimeout));
         record(core, claim, &answer.late().await);
         return;
     }
     record(core, claim, &result);
     let _ = caller.send(match result {
-        Ok(answer) => reply::answer(&arrived.route, answer),
-        Err(error) => reply::error(core, error.kind()),
+        Ok(answer) => response::answer(&arrived.route, answer),
+        Err(error) => response::error(core, error.kind()),
     });
 }
 
@@ -127,7 +126,7 @@
 fn record_answer(core: &Core, claim: Claim, answer: &SentAnswer) {
     match &answer.body {
         SentBody::Whole(body) => {
-            let kept = reply::keep(&answer.head, body);
+            let kept = response::keep(&answer.head, body);
             end(core, claim, AttemptState::Done(Rc::new(kept.clone())), ClaimState::Done(kept));
         }
         SentBody::Streaming { .. } => end(core, claim, AttemptState::Unkept, ClaimState::Unkept),
@@ -204,8 +203,8 @@
 
 fn settled(core: &Core, end: Settled) -> Response<ReplyBody> {
     match end {
-        Settled::Error(kind) => reply::error(core, kind),
-        Settled::Replay(kept) => reply::replay(core, &kept),
+        Settled::Error(kind) => response::error(core, kind),
+        Settled::Replay(kept) => response::replay(core, &kept),
     }
 }
 
--- a/reachhead_entry/src/request/mod.rs
+++ b/reachhead_entry/src/request/mod.rs
@@ -1,10 +1,10 @@
 //! What lives as long as a request: from its head to the last byte of its answer.
 
-mod body;
 mod dispatch;
-mod head;
-mod keyed;
-pub mod reply;
+mod headers;
+mod idempotency;
+pub mod response;
+mod response_body;
 mod send;
 
 use std::{rc::Rc, time::Duration};
@@ -26,7 +26,8 @@
 use tokio::time;
 
 use crate::{
-    connection::watch::Watch, process::core::Core, request::body::ReplyBody, version::Route,
+    connection::head_inspector::Watch, process::proxy::Core, request::response_body::ReplyBody,
+    route_table::Route,
 };
 
 /// A request that has arrived whole.
@@ -86,10 +87,10 @@
             route.metrics.latency.observe(started.elapsed().as_secs_f64());
             response
         }
-        Err(kind) => reply::error(&core, kind),
+        Err(kind) => response::error(&core, kind),
     };
     if core.is_stopping() || !is_clear {
-        reply::close(&mut response);
+        response::close(&mut response);
     }
     response
 }
@@ -97,13 +98,13 @@
 async fn answer(core: &Rc<Core>, arrived: Arrived) -> Response<ReplyBody> {
     let key = match key(&arrived) {
         Ok(key) => key,
-        Err(kind) => return reply::error(core, kind),
+        Err(kind) => return response::error(core, kind),
     };
     match key {
-        Some(key) => keyed::run(core, arrived, key).await,
+        Some(key) => idempotency::run(core, arrived, key).await,
         None => match dispatch::run(core, &arrived, None).await {
-            Ok(answer) => reply::answer(&arrived.route, answer),
-            Err(error) => reply::error(core, error.kind()),
+            Ok(answer) => response::answer(&arrived.route, answer),
+            Err(error) => response::error(core, error.kind()),
         },
     }
 }
--- a/reachhead_entry/src/request/reply.rs
+++ b/reachhead_entry/src/request/response.rs
@@ -15,13 +15,13 @@
 };
 
 use crate::{
-    process::core::Core,
+    process::proxy::Core,
     request::{
-        body::{Live, ReplyBody},
-        head,
+        headers,
+        response_body::{Live, ReplyBody},
         send::{SentAnswer, SentBody},
     },
-    version::Route,
+    route_table::Route,
 };
 
 /// The field that marks an answer which was kept from an earlier request with the same key.
@@ -77,7 +77,7 @@
 }
 
 fn strip(head: &mut Parts) {
-    head::strip(&mut head.headers);
+    headers::strip(&mut head.headers);
     // These are this system's own words; a minion has no say in them.
     head.headers.remove(KIND_HEADER);
     head.headers.remove(REPLAYED_HEADER);
--- a/reachhead_entry/src/request/send.rs
+++ b/reachhead_entry/src/request/send.rs
@@ -18,9 +18,9 @@
 use tokio::{task::spawn_local, time};
 
 use crate::{
-    connection::out::{self, Answer, AnswerBody, ExchangeError, Sender},
-    process::{core::Core, service::Permit},
-    request::{Arrived, head},
+    connection::minion_client::{self, Answer, AnswerBody, ExchangeError, Sender},
+    process::{proxy::Core, service::Permit},
+    request::{Arrived, headers},
 };
 
 /// A minion that is silent for less than this is not blamed: the caller's time was short.
@@ -110,7 +110,7 @@
         None => {
             let left = arrived.deadline.left();
             let limit = Duration::from_millis(minions.connect_time.get()).min(left);
-            match out::connect(permit.minion.row.address, limit).await {
+            match minion_client::connect(permit.minion.row.address, limit).await {
                 Some(sender) => sender,
                 None => {
                     permit.minion.fail();
@@ -132,7 +132,7 @@
         *request.uri_mut() = path.clone().into();
     }
     *request.version_mut() = Version::HTTP_11;
-    *request.headers_mut() = head::for_minion(&arrived.head.headers, arrived.deadline);
+    *request.headers_mut() = headers::for_minion(&arrived.head.headers, arrived.deadline);
     request
 }
 
@@ -163,7 +163,7 @@
 
     async fn run(self) -> SendResult {
         let Self { permit, mut sender, request, whole, .. } = self;
-        let result = out::exchange(&mut sender, request, whole).await;
+        let result = minion_client::exchange(&mut sender, request, whole).await;
         settle(result, permit, sender)
     }
 }
@@ -225,7 +225,7 @@
     match result {
         Ok(Answer { head, body }) => {
             minion.succeed();
-            if out::says_close(&head.headers) {
+            if minion_client::says_close(&head.headers) {
                 minion.note_leaving();
             }
             let body = match body {
