--- a/reachhead_entry/src/connection/accept.rs
+++ b/reachhead_entry/src/connection/accept.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: accepting them, limits on heads, graceful end.
+//! Accepts callers' connections and serves them, with limits on request heads and a graceful
+//! shutdown.
 
 use std::{cell::Cell, convert::Infallible, future::Future, pin::Pin, rc::Rc, time::Duration};
 
@@ -20,64 +21,65 @@
 
 use crate::{
     connection::{
-        head_inspector::{Watch, WatchedStream},
-        shutdown::Stop,
-        write_timeout::Stall,
+        head_inspector::{CallerStream, HeadInspector},
+        shutdown::ShutdownNotifier,
+        write_timeout::WriteTimeout,
     },
-    process::proxy::Core,
+    process::proxy::Proxy,
     request::{self, response},
 };
 
-/// Pause after a failed accept, so that a lack of descriptors is not met by a busy loop.
+/// Pause after a failed accept, so that a lack of file descriptors does not cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a caller whose request was refused may go on sending it.
-const LINGER_TIME: Duration = Duration::from_secs(2);
+/// Limit on reading the rest of a rejected request before its connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes that are read at a time of what nobody wants.
-const LINGER_SIZE: usize = 16 << 10;
+/// Buffer size, in bytes, for discarding the rest of a rejected request.
+const LINGER_BUFFER_SIZE: usize = 16 << 10;
 
-/// Header fields that the library accepts by itself.
-const LIBRARY_FIELDS: u32 = 100;
+/// Limit on header fields that Hyper applies by default.
+const HYPER_MAX_HEADERS: u32 = 100;
 
-/// Counts open connections, tells when one ends, and tells all of them to end.
+/// Counts the open connections and notifies them of a shutdown.
 #[derive(Default)]
-struct Open {
+struct OpenConnections {
     count: Cell<u32>,
-    ended: Notify,
-    stop: Stop,
+    closed: Notify,
+    shutdown: ShutdownNotifier,
 }
 
-/// One open connection in the count.
-struct OpenGuard(Rc<Open>);
+/// Counts one connection as open until it is dropped.
+struct ConnectionGuard(Rc<OpenConnections>);
 
-impl OpenGuard {
-    fn new(open: &Rc<Open>) -> Self {
-        open.count.set(open.count.get() + 1);
-        Self(Rc::clone(open))
+impl ConnectionGuard {
+    fn new(connections: &Rc<OpenConnections>) -> Self {
+        connections.count.set(connections.count.get() + 1);
+        Self(Rc::clone(connections))
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.count.set(self.0.count.get() - 1);
-        self.0.ended.notify_waiters();
+        self.0.closed.notify_waiters();
     }
 }
 
-/// Accepts callers until `stop` turns true, then waits until the last connection is finished.
-pub async fn run(core: Rc<Core>, listener: TcpListener, mut stop: watch::Receiver<bool>) {
-    let open = Rc::new(Open::default());
-    let limit = core.settings.callers.connections.get();
+/// Accepts connections until `stop` turns true, then shuts them down gracefully and waits until all
+/// of them are closed.
+pub async fn run(proxy: Rc<Proxy>, listener: TcpListener, mut stop: watch::Receiver<bool>) {
+    let connections = Rc::new(OpenConnections::default());
+    let limit = proxy.settings.callers.connections.get();
     loop {
-        let has_room = open.count.get() < limit;
+        let is_below_limit = connections.count.get() < limit;
         tokio::select! {
             () = runtime::stopped(&mut stop) => break,
-            accepted = listener.accept(), if has_room => match accepted {
+            accepted = listener.accept(), if is_below_limit => match accepted {
                 Ok((stream, _)) => {
-                    let guard = OpenGuard::new(&open);
-                    spawn_local(serve(Rc::clone(&core), stream, guard));
-                    // One group's burst of connections must not keep the others' requests waiting.
+                    let guard = ConnectionGuard::new(&connections);
+                    spawn_local(serve(Rc::clone(&proxy), stream, guard));
+                    // A burst of connections from one group must not delay requests of the others.
                     task::yield_now().await;
                 }
                 Err(error) => {
@@ -85,74 +87,75 @@
                     time::sleep(ACCEPT_PAUSE).await;
                 }
             },
-            () = open.ended.notified(), if !has_room => {}
+            () = connections.closed.notified(), if !is_below_limit => {}
         }
     }
     drop(listener);
-    open.stop.stop();
+    connections.shutdown.notify();
     loop {
-        let ended = open.ended.notified();
-        if open.count.get() == 0 {
+        let closed = connections.closed.notified();
+        if connections.count.get() == 0 {
             return;
         }
-        ended.await;
+        closed.await;
     }
 }
 
-async fn serve(core: Rc<Core>, stream: TcpStream, open: OpenGuard) {
+async fn serve(proxy: Rc<Proxy>, stream: TcpStream, guard: ConnectionGuard) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let callers = &core.settings.callers;
+    let callers = &proxy.settings.callers;
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(callers.head_time.get()))
         .max_buf_size(callers.head.0 as usize);
-    if callers.fields.get() != LIBRARY_FIELDS {
-        // Another limit than the library's own costs an allocation for each head.
+    if callers.fields.get() != HYPER_MAX_HEADERS {
+        // With a limit other than the default, Hyper allocates memory for each request head.
         builder.max_headers(callers.fields.get() as usize);
     }
-    let watch = Watch::new();
+    let inspector = HeadInspector::new();
     let service = {
-        let (core, watch) = (Rc::clone(&core), Rc::clone(&watch));
+        let (proxy, inspector) = (Rc::clone(&proxy), Rc::clone(&inspector));
         service_fn(move |request| {
-            let (core, watch) = (Rc::clone(&core), Rc::clone(&watch));
-            async move { Ok::<_, Infallible>(request::handle(core, request, &watch).await) }
+            let (proxy, inspector) = (Rc::clone(&proxy), Rc::clone(&inspector));
+            async move { Ok::<_, Infallible>(request::handle(proxy, request, &inspector).await) }
         })
     };
-    let stall = Stall::new(Duration::from_millis(callers.stall_time.get()));
-    let stream = TokioIo::new(WatchedStream::new(stream, Rc::clone(&watch), stall));
+    let write_timeout = WriteTimeout::new(Duration::from_millis(callers.stall_time.get()));
+    let stream = TokioIo::new(CallerStream::new(stream, Rc::clone(&inspector), write_timeout));
     let mut connection = builder.serve_connection(stream, service);
-    let mut listens = open.0.stop.listen();
-    let ended = future::poll_fn(|context| {
-        if listens.is_stopped(context) {
+    let mut shutdown = guard.0.shutdown.subscribe();
+    let result = future::poll_fn(|context| {
+        if shutdown.is_notified(context) {
             Pin::new(&mut connection).graceful_shutdown();
         }
         Pin::new(&mut connection).poll(context)
     })
     .await;
-    drop(listens);
+    drop(shutdown);
     let stream = connection.into_parts().io.into_inner();
-    match ended {
-        Ok(()) if watch.is_unread() => linger(stream).await,
+    match result {
+        Ok(()) if inspector.has_unread_body() => linger(stream).await,
         Ok(()) => {}
-        Err(error) if error.is_timeout() => refuse_slow(stream).await,
-        Err(error) => debug!("a caller's connection ended: {error}"),
+        Err(error) if error.is_timeout() => send_head_timeout(stream).await,
+        Err(error) => debug!("caller connection failed: {error}"),
     }
 }
 
-/// Answers a head that was too slow: the library ends its connection without a word.
-async fn refuse_slow(mut stream: WatchedStream) {
-    let _ = stream.write_all(response::too_slow().as_bytes()).await;
+/// Answers a request whose head timed out; Hyper closes the connection without a response.
+async fn send_head_timeout(mut stream: CallerStream) {
+    let _ = stream.write_all(response::head_timeout().as_bytes()).await;
     let _ = stream.shutdown().await;
 }
 
-/// Reads what a caller still sends after its request was refused. Closing at once would reset the
-/// connection, and the refusal would be lost on its way.
-async fn linger(mut stream: WatchedStream) {
-    let mut buffer = vec![0; LINGER_SIZE];
-    let drained = async { while let Ok(1..) = stream.read(&mut buffer).await {} };
-    // Whoever still sends after that has had the answer for long.
-    let _ = time::timeout(LINGER_TIME, drained).await;
+/// Discards the rest of a rejected request before the connection is closed.
+///
+/// Closing it with unread bytes would reset the connection, and the caller could lose the response.
+async fn linger(mut stream: CallerStream) {
+    let mut buffer = vec![0; LINGER_BUFFER_SIZE];
+    let discard = async { while let Ok(1..) = stream.read(&mut buffer).await {} };
+    // By the time limit, the caller has had enough time to receive the response.
+    let _ = time::timeout(LINGER_TIMEOUT, discard).await;
 }
--- a/reachhead_entry/src/connection/head_inspector.rs
+++ b/reachhead_entry/src/connection/head_inspector.rs
@@ -1,9 +1,9 @@
-//! Watches the bytes of a caller's connection for what the HTTP library does not tell.
+//! Detects request heads with ambiguous framing, a defence against request smuggling.
 //!
-//! A head with both a length and a transfer coding is ambiguous: a balancer in front may have read
-//! it in the other way. The library drops one of the two silently, so the lines are looked at
-//! here. Nothing is parsed twice: the watch only notes which of the two fields a head has, and how
-//! many bytes followed it.
+//! A head with both `content-length` and `transfer-encoding` is ambiguous: a load balancer in front
+//! may have interpreted it differently. Hyper silently ignores one of the two, so the inspector
+//! reads the raw bytes. It does not parse the head; it only records which of the two fields are
+//! present and how many bytes follow the head.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,132 +18,141 @@
     net::TcpStream,
 };
 
-use crate::connection::write_timeout::Stall;
+use crate::connection::write_timeout::WriteTimeout;
 
-/// Start of the field that gives a body's length.
-const LENGTH: &[u8] = b"content-length:";
+/// Start of the line with the length of the body, in lower case.
+const CONTENT_LENGTH: &[u8] = b"content-length:";
 
-/// Start of the field that gives a body's coding.
-const CODING: &[u8] = b"transfer-encoding:";
+/// Start of the line with the transfer coding of the body, in lower case.
+const TRANSFER_ENCODING: &[u8] = b"transfer-encoding:";
 
-/// Bytes of a line that are looked at.
-const LINE_START: usize = CODING.len();
+/// Number of bytes that are compared at the start of a line.
+const LINE_START_SIZE: usize = TRANSFER_ENCODING.len();
 
-/// What was seen of the request under way.
+/// Records the framing fields of the current request on one connection.
 #[derive(Debug, Default)]
-pub struct Watch {
-    has_length: Cell<bool>,
-    has_coding: Cell<bool>,
-    is_head: Cell<bool>,
-    /// Bytes since the end of the head.
-    after_head: Cell<u64>,
-    line: RefCell<Vec<u8>>,
+pub struct HeadInspector {
+    has_content_length: Cell<bool>,
+    has_transfer_encoding: Cell<bool>,
+    in_head: Cell<bool>,
+    /// Bytes received since the end of the head.
+    bytes_after_head: Cell<u64>,
+    line_start: RefCell<Vec<u8>>,
     line_len: Cell<usize>,
-    is_unread: Cell<bool>,
+    is_body_unread: Cell<bool>,
 }
 
-impl Watch {
-    /// Returns the watch of a connection on which a head comes next.
+impl HeadInspector {
+    /// Returns the inspector of a new connection, which expects a request head.
     pub fn new() -> Rc<Self> {
-        let watch = Self::default();
-        watch.is_head.set(true);
-        Rc::new(watch)
+        let inspector = Self::default();
+        inspector.in_head.set(true);
+        Rc::new(inspector)
     }
 
-    /// Tells whether the head has both a length and a transfer coding.
+    /// Returns whether the head has both `content-length` and `transfer-encoding`.
     pub fn is_ambiguous(&self) -> bool {
-        self.has_length.get() && self.has_coding.get()
+        self.has_content_length.get() && self.has_transfer_encoding.get()
     }
 
-    /// Notes that a request was answered before all of its body was read.
-    pub fn note_unread(&self) {
-        self.is_unread.set(true);
+    /// Records that a request was answered before its body was read completely.
+    pub fn mark_body_unread(&self) {
+        self.is_body_unread.set(true);
     }
 
-    /// Tells whether a request was answered before all of its body was read, so that its caller may
-    /// still be sending.
-    pub fn is_unread(&self) -> bool {
-        self.is_unread.get()
+    /// Returns whether a request was answered before its body was read completely, so that the
+    /// caller may still be sending it.
+    pub fn has_unread_body(&self) -> bool {
+        self.is_body_unread.get()
     }
 
-    /// Starts on the next request and tells whether the watch can vouch for its head: it can't if
-    /// bytes of it came along with the body, which has `length` bytes if that is known.
+    /// Resets the inspector for the next request and returns whether it will see all of its head.
+    ///
+    /// `length` is the length of the current body in bytes, `None` if it is chunked. The inspector
+    /// does not see bytes of the next head that were received together with the body.
     pub fn next(&self, length: Option<u64>) -> bool {
-        let is_clear = length.is_some_and(|length| self.after_head.get() <= length);
-        self.has_length.set(false);
-        self.has_coding.set(false);
-        self.after_head.set(0);
-        self.is_head.set(true);
-        is_clear
+        let is_head_inspected = length.is_some_and(|length| self.bytes_after_head.get() <= length);
+        self.has_content_length.set(false);
+        self.has_transfer_encoding.set(false);
+        self.bytes_after_head.set(0);
+        self.in_head.set(true);
+        is_head_inspected
     }
 
-    fn feed(&self, bytes: &[u8]) {
+    fn inspect(&self, bytes: &[u8]) {
         for (position, &byte) in bytes.iter().enumerate() {
-            if !self.is_head.get() {
-                let rest = bytes.len() - position;
-                self.after_head.set(self.after_head.get() + rest as u64);
+            if !self.in_head.get() {
+                let remaining = bytes.len() - position;
+                self.bytes_after_head.set(self.bytes_after_head.get() + remaining as u64);
                 return;
             }
-            self.feed_head(byte);
+            self.inspect_head_byte(byte);
         }
     }
 
-    fn feed_head(&self, byte: u8) {
-        let mut line = self.line.borrow_mut();
+    fn inspect_head_byte(&self, byte: u8) {
+        let mut line_start = self.line_start.borrow_mut();
         if byte != b'\n' {
             self.line_len.set(self.line_len.get() + usize::from(byte != b'\r'));
-            if line.len() < LINE_START {
-                line.push(byte.to_ascii_lowercase());
+            if line_start.len() < LINE_START_SIZE {
+                line_start.push(byte.to_ascii_lowercase());
             }
             return;
         }
-        self.has_length.set(self.has_length.get() || line.starts_with(LENGTH));
-        self.has_coding.set(self.has_coding.get() || line.starts_with(CODING));
-        // Empty lines before a request line are allowed and belong to no head; ending the watch of
-        // this head early there is harmless, since the request line is then counted as unvouched.
-        self.is_head.set(self.line_len.get() > 0);
+        self.has_content_length
+            .set(self.has_content_length.get() || line_start.starts_with(CONTENT_LENGTH));
+        self.has_transfer_encoding
+            .set(self.has_transfer_encoding.get() || line_start.starts_with(TRANSFER_ENCODING));
+        // HTTP allows empty lines before a request line. Taking one for the end of the head is
+        // safe: the bytes of the real head then count as following it, so `next` returns false and
+        // the connection is closed after the response.
+        self.in_head.set(self.line_len.get() > 0);
         self.line_len.set(0);
-        line.clear();
+        line_start.clear();
     }
 }
 
-/// A caller's stream whose incoming bytes pass the watch and whose outgoing ones must get on.
-pub struct WatchedStream {
+/// A caller's stream that inspects the bytes read and limits the time of pending writes.
+pub struct CallerStream {
     stream: TcpStream,
-    watch: Rc<Watch>,
-    stall: Stall,
+    inspector: Rc<HeadInspector>,
+    write_timeout: WriteTimeout,
 }
 
-impl WatchedStream {
-    /// Returns `stream` under `watch`; its writes end with an error when they `stall`.
-    pub fn new(stream: TcpStream, watch: Rc<Watch>, stall: Stall) -> Self {
-        Self { stream, watch, stall }
+impl CallerStream {
+    /// Returns `stream` with `inspector` on its reads and `write_timeout` on its writes.
+    pub fn new(
+        stream: TcpStream,
+        inspector: Rc<HeadInspector>,
+        write_timeout: WriteTimeout,
+    ) -> Self {
+        Self { stream, inspector, write_timeout }
     }
 }
 
-impl AsyncRead for WatchedStream {
+impl AsyncRead for CallerStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(context, buffer);
         if let Poll::Ready(Ok(())) = result {
-            self.watch.feed(&buffer.filled()[before..]);
+            self.inspector.inspect(&buffer.filled()[filled_before..]);
         }
         result
     }
 }
 
-impl AsyncWrite for WatchedStream {
+impl AsyncWrite for CallerStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.stall.check(context, written)
+        self.write_timeout.check(context, written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -160,7 +169,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.stall.check(context, written)
+        self.write_timeout.check(context, written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/reachhead_entry/src/connection/minion_client.rs
+++ b/reachhead_entry/src/connection/minion_client.rs
@@ -1,4 +1,4 @@
-//! Connections to minions: one request at a time on each, and what an exchange can end in.
+//! HTTP/1 client for minions, with one request at a time on each connection.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,62 +16,63 @@
 use reachhead_types::error::REFUSED_HEADER;
 use tokio::{net::TcpStream, task::spawn_local, time};
 
-/// The sending end of a connection.
+/// The request side of a connection to a minion.
 pub type Sender = SendRequest<Full<Bytes>>;
 
-/// A minion's answer.
-pub struct Answer {
+/// The response of a minion.
+pub struct MinionResponse {
     /// Status and header fields.
     pub head: response::Parts,
     /// The body.
-    pub body: AnswerBody,
+    pub body: MinionBody,
 }
 
-/// A minion's body.
-pub enum AnswerBody {
-    /// All of it; the connection may serve the next request.
-    Whole(Bytes),
-    /// The first part, and the rest as it comes.
+/// The response body of a minion.
+pub enum MinionBody {
+    /// The complete body; the connection can be used for the next request.
+    Buffered(Bytes),
+    /// A body above the buffer limit, which is still being received.
     Streaming {
-        /// What has arrived.
+        /// The bytes received so far.
         first: Bytes,
-        /// What has not.
+        /// The remaining body.
         rest: Incoming,
     },
 }
 
-/// Why an exchange gave no answer.
+/// Why a request got no usable response.
 pub enum ExchangeError {
-    /// No byte of the request was handed to the connection.
+    /// No byte of the request was passed to the connection.
     Unsent,
-    /// The connection broke after the request was handed to it.
-    Broke,
-    /// The answer can't be trusted to be whole.
-    BadAnswer,
-    /// The minion refused the request by contract: it did not and will not run it.
+    /// The connection failed after the request was passed to it.
+    ConnectionLost,
+    /// The response is malformed, or a truncated body could not be detected.
+    InvalidResponse,
+    /// The response has the header by which a minion declares that it did not and will not run the
+    /// request.
     Refused,
 }
 
-/// Connects to a minion.
-pub async fn connect(address: SocketAddr, limit: Duration) -> Option<Sender> {
-    let connected = time::timeout(limit, TcpStream::connect(address)).await;
+/// Connects to a minion; returns `None` on an error or after `connect_timeout`.
+pub async fn connect(address: SocketAddr, connect_timeout: Duration) -> Option<Sender> {
+    let connected = time::timeout(connect_timeout, TcpStream::connect(address)).await;
     let stream = connected.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move {
         if let Err(error) = connection.await {
-            debug!("a connection to {address} ended: {error}");
+            debug!("minion connection to {address} failed: {error}");
         }
     });
     Some(sender)
 }
 
-/// Sends `request` and waits for its answer, whole if it has at most `whole` bytes.
+/// Sends `request` and receives the response; bodies of up to `buffer_limit` bytes are buffered.
 pub async fn exchange(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
-    whole: usize,
-) -> Result<Answer, ExchangeError> {
+    buffer_limit: usize,
+) -> Result<MinionResponse, ExchangeError> {
     let method = request.method().clone();
     if sender.ready().await.is_err() {
         return Err(ExchangeError::Unsent);
@@ -81,24 +82,24 @@
         Err(mut error) => {
             return Err(match error.take_message() {
                 Some(_) => ExchangeError::Unsent,
-                None if error.error().is_parse() => ExchangeError::BadAnswer,
-                None => ExchangeError::Broke,
+                None if error.error().is_parse() => ExchangeError::InvalidResponse,
+                None => ExchangeError::ConnectionLost,
             });
         }
     };
     if response.headers().contains_key(REFUSED_HEADER) {
         return Err(ExchangeError::Refused);
     }
-    if !has_clear_end(&method, &response) {
-        return Err(ExchangeError::BadAnswer);
+    if !has_body_framing(&method, &response) {
+        return Err(ExchangeError::InvalidResponse);
     }
     let (head, body) = response.into_parts();
-    let body = collect(body, whole).await?;
-    Ok(Answer { head, body })
+    let body = collect_body(body, buffer_limit).await?;
+    Ok(MinionResponse { head, body })
 }
 
-/// Tells whether a cut of the body would be noticed: its length is given, or it is in chunks.
-fn has_clear_end(method: &Method, response: &Response<Incoming>) -> bool {
+/// Returns whether a truncated body would be detected: it is empty, has a length or is chunked.
+fn has_body_framing(method: &Method, response: &Response<Incoming>) -> bool {
     let status = response.status();
     let is_empty = method == Method::HEAD
         || status == StatusCode::NO_CONTENT
@@ -108,37 +109,40 @@
         && (is_empty || has(header::CONTENT_LENGTH) || has(header::TRANSFER_ENCODING))
 }
 
-async fn collect(mut body: Incoming, whole: usize) -> Result<AnswerBody, ExchangeError> {
-    if body.size_hint().lower() > whole as u64 {
-        return Ok(AnswerBody::Streaming { first: Bytes::new(), rest: body });
+async fn collect_body(
+    mut body: Incoming,
+    buffer_limit: usize,
+) -> Result<MinionBody, ExchangeError> {
+    if body.size_hint().lower() > buffer_limit as u64 {
+        return Ok(MinionBody::Streaming { first: Bytes::new(), rest: body });
     }
-    let mut parts = Vec::new();
+    let mut chunks = Vec::new();
     let mut length = 0;
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| ExchangeError::Broke)?;
-        // Trailers are dropped: the connection's framing ends here.
-        let Ok(part) = frame.into_data() else {
+        let frame = frame.map_err(|_| ExchangeError::ConnectionLost)?;
+        // Trailers are dropped: like the transfer coding, they belong to this connection only.
+        let Ok(chunk) = frame.into_data() else {
             continue;
         };
-        length += part.len();
-        parts.push(part);
-        if length > whole {
-            return Ok(AnswerBody::Streaming { first: join(parts), rest: body });
+        length += chunk.len();
+        chunks.push(chunk);
+        if length > buffer_limit {
+            return Ok(MinionBody::Streaming { first: concat_chunks(chunks), rest: body });
         }
     }
-    Ok(AnswerBody::Whole(join(parts)))
+    Ok(MinionBody::Buffered(concat_chunks(chunks)))
 }
 
-fn join(mut parts: Vec<Bytes>) -> Bytes {
-    match parts.len() {
+fn concat_chunks(mut chunks: Vec<Bytes>) -> Bytes {
+    match chunks.len() {
         0 => Bytes::new(),
-        1 => parts.swap_remove(0),
-        _ => parts.concat().into(),
+        1 => chunks.swap_remove(0),
+        _ => chunks.concat().into(),
     }
 }
 
-/// Tells whether the minion said that it closes the connection, as it does before it goes away.
-pub fn says_close(headers: &HeaderMap) -> bool {
+/// Returns whether the response has `connection: close`, which a minion sends before it shuts down.
+pub fn announces_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
--- a/reachhead_entry/src/connection/mod.rs
+++ b/reachhead_entry/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: callers' connections and connections to minions.
+//! Connections from callers and to minions.
 
 pub mod accept;
 pub mod head_inspector;
--- a/reachhead_entry/src/connection/shutdown.rs
+++ b/reachhead_entry/src/connection/shutdown.rs
@@ -1,4 +1,4 @@
-//! Tells every connection of one thread to end, at no cost for each of its requests.
+//! Notifies all connections of one thread of a shutdown, without any cost per request.
 
 use std::{
     cell::{Cell, RefCell},
@@ -6,54 +6,57 @@
     task::{Context, Waker},
 };
 
-/// Told once; listeners are woken then.
+/// Sends a one-time shutdown notification to its listeners.
 #[derive(Debug, Default)]
-pub struct Stop {
-    is_stopped: Cell<bool>,
+pub struct ShutdownNotifier {
+    was_sent: Cell<bool>,
+    /// The ID of the next listener.
     next: Cell<u64>,
     wakers: RefCell<BTreeMap<u64, Waker>>,
 }
 
-/// One connection that listens; it must be asked from one task only.
-pub struct Listener<'s> {
-    stop: &'s Stop,
-    number: u64,
-    is_known: bool,
-    is_told: bool,
+/// The subscription of one connection; it must be polled from one task only.
+pub struct ShutdownListener<'s> {
+    notifier: &'s ShutdownNotifier,
+    id: u64,
+    is_registered: bool,
+    was_reported: bool,
 }
 
-impl Stop {
-    /// Tells every listener to stop.
-    pub fn stop(&self) {
-        self.is_stopped.set(true);
+impl ShutdownNotifier {
+    /// Notifies and wakes all listeners.
+    pub fn notify(&self) {
+        self.was_sent.set(true);
         for waker in self.wakers.take().into_values() {
             waker.wake();
         }
     }
 
-    /// Returns a new listener.
-    pub fn listen(&self) -> Listener<'_> {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        Listener { stop: self, number, is_known: false, is_told: false }
+    /// Returns a new listener, which also receives a notification that was sent before.
+    pub fn subscribe(&self) -> ShutdownListener<'_> {
+        let id = self.next.get();
+        self.next.set(id + 1);
+        ShutdownListener { notifier: self, id, is_registered: false, was_reported: false }
     }
 }
 
-impl Listener<'_> {
-    /// Tells once that it is time to stop; until then the task of `context` will be woken for it.
-    pub fn is_stopped(&mut self, context: &Context<'_>) -> bool {
-        if !self.is_known {
-            self.is_known = true;
-            self.stop.wakers.borrow_mut().insert(self.number, context.waker().clone());
+impl ShutdownListener<'_> {
+    /// Returns true exactly once after the notification.
+    ///
+    /// The first call registers the task of `context`, which the notification wakes.
+    pub fn is_notified(&mut self, context: &Context<'_>) -> bool {
+        if !self.is_registered {
+            self.is_registered = true;
+            self.notifier.wakers.borrow_mut().insert(self.id, context.waker().clone());
         }
-        let is_news = self.stop.is_stopped.get() && !self.is_told;
-        self.is_told |= is_news;
-        is_news
+        let is_first_report = self.notifier.was_sent.get() && !self.was_reported;
+        self.was_reported |= is_first_report;
+        is_first_report
     }
 }
 
-impl Drop for Listener<'_> {
+impl Drop for ShutdownListener<'_> {
     fn drop(&mut self) {
-        self.stop.wakers.borrow_mut().remove(&self.number);
+        self.notifier.wakers.borrow_mut().remove(&self.id);
     }
 }
--- a/reachhead_entry/src/connection/write_timeout.rs
+++ b/reachhead_entry/src/connection/write_timeout.rs
@@ -1,8 +1,7 @@
-//! Ends a connection whose caller takes nothing of its answer any more.
+//! Limits how long a write to a caller may make no progress.
 //!
-//! An answer that still arrives holds a slot at its minion. A caller that stops reading would hold
-//! it for ever, so a write that gets nowhere for too long is an error; docs/OUTCOMES.md tells how
-//! the caller sees it.
+//! A streaming response occupies a slot of its minion, and a caller that stops reading would occupy
+//! it forever. docs/OUTCOMES.md describes what the caller observes.
 
 use std::{
     future::Future,
@@ -14,32 +13,32 @@
 
 use tokio::time::{Sleep, sleep};
 
-/// The writes of one connection, as they get on.
-pub struct Stall {
+/// The time limit for pending writes of one connection.
+pub struct WriteTimeout {
     limit: Duration,
-    /// Runs while a write waits; made only then, since most writes never wait.
-    wait: Option<Pin<Box<Sleep>>>,
+    /// Runs while a write is pending; created on demand, since most writes complete at once.
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stall {
-    /// Returns a watch that lets a write wait for `limit` at most.
+impl WriteTimeout {
+    /// Returns a timeout that fails writes which are pending for `limit`.
     pub fn new(limit: Duration) -> Self {
-        Self { limit, wait: None }
+        Self { limit, timer: None }
     }
 
-    /// Returns the result of a write, or an error if it has waited for too long.
+    /// Returns the result of polling a write, or a `TimedOut` error if it was pending for too long.
     pub fn check<T>(
         &mut self,
         context: &mut Context<'_>,
-        written: Poll<io::Result<T>>,
+        result: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        if written.is_ready() {
-            self.wait = None;
-            return written;
+        if result.is_ready() {
+            self.timer = None;
+            return result;
         }
         let limit = self.limit;
-        let wait = self.wait.get_or_insert_with(|| Box::pin(sleep(limit)));
-        ready!(wait.as_mut().poll(context));
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(limit)));
+        ready!(timer.as_mut().poll(context));
         Poll::Ready(Err(io::Error::from(io::ErrorKind::TimedOut)))
     }
 }
--- a/reachhead_entry/src/main.rs
+++ b/reachhead_entry/src/main.rs
@@ -1,6 +1,7 @@
-//! The request path between callers and minions.
+//! The reverse proxy between callers and minions (backend servers).
 //!
-//! Modules follow the life span of what they hold: `request`, `connection`, `version`, `process`.
+//! There is one module per lifetime of the state in it: `request`, `connection`, `route_table` (one
+//! per configuration version) and `process`.
 
 mod connection;
 mod process;
--- a/reachhead_entry/src/process/claim_writer.rs
+++ b/reachhead_entry/src/process/claim_writer.rs
@@ -1,7 +1,7 @@
-//! Writes claims to the store in batches, on a thread of its own.
+//! Writes idempotency claims to the store in batches, on a separate thread.
 //!
-//! One transaction is under way at a time; whatever arrives meanwhile shares the next one.
-//! docs/AT-MOST-ONCE.md tells what each result means for the request.
+//! One transaction is in flight at a time, and jobs that arrive meanwhile share the next one.
+//! docs/AT-MOST-ONCE.md describes what each result means for the request.
 
 use std::{collections::BTreeSet, io, sync::Arc, thread, time::Duration};
 
@@ -21,97 +21,98 @@
     time::{self, Instant},
 };
 
-/// How long records wait for a claim to share a transaction with.
-const RECORD_WAIT: Duration = Duration::from_millis(100);
+/// How long outcomes wait for a claim, to share its transaction.
+const MAX_RECORD_DELAY: Duration = Duration::from_millis(100);
 
-/// Times that one batch is sent again without the rows that were in conflict.
-const ROUND_LIMIT: u32 = 4;
+/// Number of times that a batch is sent; after a conflict, it is sent without the rows in conflict.
+const MAX_COMMIT_TRIES: u32 = 4;
 
-/// Times that a record is written again after a failure; its owner can still be asked.
-const RECORD_TRIES: u32 = 5;
+/// Number of times that the write of an outcome is tried. If all fail, other hosts can still query
+/// this process.
+const MAX_RECORD_TRIES: u32 = 5;
 
-/// What became of a claim.
+/// The result of writing a claim.
 #[derive(Debug)]
-pub enum ClaimReply {
-    /// The claim is in the store under this revision.
+pub enum ClaimResult {
+    /// The claim is in the store with this revision.
     Stored(Revision),
-    /// Another claim is there.
+    /// The store has another claim for the key.
     Held {
-        /// The claim that is there; `None` if it went away meanwhile.
+        /// The other claim; `None` if it was deleted in the meantime.
         row: Option<ClaimRow>,
-        /// Its revision.
+        /// The revision of the other claim.
         revision: Option<Revision>,
     },
-    /// The claim is not known to be in the store; the request must not be sent.
+    /// The claim may not be in the store, so the request must not be sent.
     NotStored,
 }
 
-enum Job {
-    Claim(ClaimJob),
-    Record(RecordJob),
+enum WriteJob {
+    Claim(ClaimWrite),
+    Record(OutcomeWrite),
     Flush(oneshot::Sender<()>),
 }
 
-struct ClaimJob {
+struct ClaimWrite {
     key: Key,
     row: ClaimRow,
-    /// The revision of the claim that it takes over; `None` if there must be none.
+    /// The revision of the claim that is replaced; `None` if there must be no claim.
     expected: Option<Revision>,
-    reply: oneshot::Sender<ClaimReply>,
+    reply: oneshot::Sender<ClaimResult>,
 }
 
-struct RecordJob {
+struct OutcomeWrite {
     key: Key,
-    /// The claim with its end; `None` takes the claim away.
+    /// The claim with its final state; `None` deletes the claim.
     row: Option<ClaimRow>,
     revision: Revision,
     tries: u32,
 }
 
-/// The path thread's end of the ring.
-pub struct Claims {
-    jobs: mpsc::Sender<Job>,
+/// Queues claims and outcomes for the `claims` thread.
+pub struct ClaimWriter {
+    jobs: mpsc::Sender<WriteJob>,
 }
 
-impl Claims {
-    /// Writes a claim, over the one with the revision `expected` if that is given.
-    pub async fn claim(&self, key: Key, row: ClaimRow, expected: Option<Revision>) -> ClaimReply {
+impl ClaimWriter {
+    /// Writes a claim, which replaces the claim with the revision `expected` if that is given.
+    pub async fn claim(&self, key: Key, row: ClaimRow, expected: Option<Revision>) -> ClaimResult {
         let (reply, stored) = oneshot::channel();
-        let job = Job::Claim(ClaimJob { key, row, expected, reply });
+        let job = WriteJob::Claim(ClaimWrite { key, row, expected, reply });
         match self.jobs.try_send(job) {
-            Ok(()) => stored.await.unwrap_or(ClaimReply::NotStored),
-            Err(_) => ClaimReply::NotStored,
+            Ok(()) => stored.await.unwrap_or(ClaimResult::NotStored),
+            Err(_) => ClaimResult::NotStored,
         }
     }
 
-    /// Records the end of a claim, or takes it away; nobody waits for it.
-    pub fn record(&self, key: Key, row: Option<ClaimRow>, revision: Revision) {
-        // A record that finds no room is lost; the owner still answers for the attempt.
-        let _ = self.jobs.try_send(Job::Record(RecordJob { key, row, revision, tries: 0 }));
+    /// Queues the final state of a claim, or its deletion, without waiting for the write.
+    pub fn record_outcome(&self, key: Key, row: Option<ClaimRow>, revision: Revision) {
+        // If the queue is full, the outcome is not stored, but other hosts can query this process.
+        let _ = self.jobs.try_send(WriteJob::Record(OutcomeWrite { key, row, revision, tries: 0 }));
     }
 
-    /// Waits until everything so far is written or given up.
+    /// Waits until all queued jobs are written or have failed.
     pub async fn flush(&self) {
         let (reply, done) = oneshot::channel();
-        if self.jobs.send(Job::Flush(reply)).await.is_ok() {
+        if self.jobs.send(WriteJob::Flush(reply)).await.is_ok() {
             let _ = done.await;
         }
     }
 }
 
-/// Starts the claims thread.
+/// Starts the `claims` thread.
 ///
 /// # Errors
 ///
-/// Fails if the system gives no thread.
-pub fn start(settings: &EntrySettings) -> io::Result<Claims> {
-    let (jobs, ring) = mpsc::channel(settings.claims.queue.get() as usize);
+/// Fails if the operating system can't start a thread.
+pub fn start(settings: &EntrySettings) -> io::Result<ClaimWriter> {
+    let (jobs, receiver) = mpsc::channel(settings.claims.queue.get() as usize);
     let http = HttpStore::new(settings.store.address, settings.store.deadline.duration());
     let batcher = Batcher {
-        ring,
+        jobs: receiver,
         store: Arc::new(GuardedStore::new(http, settings.store.rate.get())),
-        linger: linger(settings),
-        limit: settings.claims.batch.get() as usize,
+        commit_interval: commit_interval(settings),
+        max_size: settings.claims.batch.get() as usize,
         batch: Batch::default(),
         last: None,
     };
@@ -119,22 +120,22 @@
     thread::Builder::new()
         .name("claims".to_owned())
         .spawn(move || runtime.block_on(batcher.run()))?;
-    Ok(Claims { jobs })
+    Ok(ClaimWriter { jobs })
 }
 
-/// Returns the time between two batches: never so short that the rate limit would refuse one.
-fn linger(settings: &EntrySettings) -> Duration {
-    let step = Duration::from_secs(1) / settings.store.rate.get();
-    settings.claims.linger.duration().max(step)
+/// Returns the time between two batches, at least as long as the rate limit of the store requires.
+fn commit_interval(settings: &EntrySettings) -> Duration {
+    let min_interval = Duration::from_secs(1) / settings.store.rate.get();
+    settings.claims.linger.duration().max(min_interval)
 }
 
 #[derive(Default)]
 struct Batch {
-    claims: Vec<ClaimJob>,
-    records: Vec<RecordJob>,
+    claims: Vec<ClaimWrite>,
+    records: Vec<OutcomeWrite>,
     flushes: Vec<oneshot::Sender<()>>,
-    /// Jobs on a row that this batch writes already; they go into the next one.
-    deferred: Vec<Job>,
+    /// Jobs for rows that this batch already writes; they are moved to the next batch.
+    deferred: Vec<WriteJob>,
     keys: BTreeSet<Key>,
 }
 
@@ -143,12 +144,12 @@
         self.claims.len() + self.records.len()
     }
 
-    fn add(&mut self, job: Job) {
+    fn add(&mut self, job: WriteJob) {
         let key = match &job {
-            Job::Claim(claim) => &claim.key,
-            Job::Record(record) => &record.key,
-            Job::Flush(_) => {
-                if let Job::Flush(reply) = job {
+            WriteJob::Claim(claim) => &claim.key,
+            WriteJob::Record(record) => &record.key,
+            WriteJob::Flush(_) => {
+                if let WriteJob::Flush(reply) = job {
                     self.flushes.push(reply);
                 }
                 return;
@@ -159,14 +160,14 @@
             return;
         }
         match job {
-            Job::Claim(claim) => self.claims.push(claim),
-            Job::Record(record) => self.records.push(record),
-            Job::Flush(_) => {}
+            WriteJob::Claim(claim) => self.claims.push(claim),
+            WriteJob::Record(record) => self.records.push(record),
+            WriteJob::Flush(_) => {}
         }
     }
 
-    /// Returns one transaction for all jobs.
-    fn txn(&self) -> Txn {
+    /// Returns a transaction for all jobs of the batch.
+    fn to_txn(&self) -> Txn {
         let mut txn = Txn::new();
         for claim in &self.claims {
             let value = serde_json::to_value(&claim.row).unwrap_or_default();
@@ -187,16 +188,16 @@
         txn
     }
 
-    /// Answers the claims on rows that were in conflict and takes them out.
+    /// Answers the claims whose rows were in conflict and removes all jobs on such rows.
     fn resolve_conflicts(&mut self, conflicts: &[Conflict]) {
         let find = |key: &Key| conflicts.iter().find(|conflict| conflict.key == *key);
-        // A record in conflict was written before, or its claim was taken over: nothing to do.
+        // A conflict means that the outcome was already written or its claim was replaced.
         self.records.retain(|record| find(&record.key).is_none());
         for claim in std::mem::take(&mut self.claims) {
             match find(&claim.key) {
                 None => self.claims.push(claim),
                 Some(conflict) => {
-                    let reply = held(&claim.row, conflict.row.as_ref());
+                    let reply = claim_result(&claim.row, conflict.row.as_ref());
                     let _ = claim.reply.send(reply);
                 }
             }
@@ -206,64 +207,65 @@
     fn answer_stored(&mut self, revision: Revision) {
         self.records.clear();
         for claim in self.claims.drain(..) {
-            let _ = claim.reply.send(ClaimReply::Stored(revision));
+            let _ = claim.reply.send(ClaimResult::Stored(revision));
         }
     }
 
     fn answer_not_stored(&mut self) {
         for claim in self.claims.drain(..) {
-            let _ = claim.reply.send(ClaimReply::NotStored);
+            let _ = claim.reply.send(ClaimResult::NotStored);
         }
     }
 }
 
-/// Tells what the row that is there means for the claim `own`.
-fn held(own: &ClaimRow, found: Option<&Row>) -> ClaimReply {
-    let Some(found) = found else {
-        return ClaimReply::Held { row: None, revision: None };
+/// Returns the result of writing the claim `own`, given the row that the store has.
+fn claim_result(own: &ClaimRow, stored: Option<&Row>) -> ClaimResult {
+    let Some(stored) = stored else {
+        return ClaimResult::Held { row: None, revision: None };
     };
-    match ClaimRow::deserialize(&found.value) {
-        // A try whose answer was lost took effect after all.
-        Ok(row) if row.attempt == own.attempt => ClaimReply::Stored(found.revision),
-        Ok(row) => ClaimReply::Held { row: Some(row), revision: Some(found.revision) },
-        Err(_) => ClaimReply::NotStored,
+    match ClaimRow::deserialize(&stored.value) {
+        // An earlier write whose reply was lost has taken effect.
+        Ok(row) if row.attempt == own.attempt => ClaimResult::Stored(stored.revision),
+        Ok(row) => ClaimResult::Held { row: Some(row), revision: Some(stored.revision) },
+        Err(_) => ClaimResult::NotStored,
     }
 }
 
 struct Batcher {
-    ring: mpsc::Receiver<Job>,
+    jobs: mpsc::Receiver<WriteJob>,
     store: Arc<dyn Store>,
-    linger: Duration,
-    limit: usize,
+    commit_interval: Duration,
+    max_size: usize,
     batch: Batch,
+    /// When the last batch was sent.
     last: Option<Instant>,
 }
 
 impl Batcher {
     async fn run(mut self) {
-        while self.collect().await {
+        while self.collect_batch().await {
             self.last = Some(Instant::now());
-            self.write().await;
-            self.next_batch();
+            self.commit_batch().await;
+            self.start_next_batch();
         }
     }
 
-    /// Fills the batch and tells whether there is one; `false` ends the thread.
-    async fn collect(&mut self) -> bool {
+    /// Waits until a batch is due; returns false if the channel is closed and no jobs are left.
+    async fn collect_batch(&mut self) -> bool {
         if self.batch.len() == 0 && self.batch.flushes.is_empty() {
-            match self.ring.recv().await {
+            match self.jobs.recv().await {
                 Some(job) => self.batch.add(job),
                 None => return false,
             }
         }
         let started = Instant::now();
         loop {
-            let due = self.due(started);
-            if self.batch.len() >= self.limit || Instant::now() >= due {
+            let due = self.commit_due(started);
+            if self.batch.len() >= self.max_size || Instant::now() >= due {
                 return true;
             }
             tokio::select! {
-                job = self.ring.recv() => match job {
+                job = self.jobs.recv() => match job {
                     Some(job) => self.batch.add(job),
                     None => return true,
                 },
@@ -272,62 +274,63 @@
         }
     }
 
-    /// Claims go a linger after the batch before, so the first after a quiet time goes at once.
-    fn due(&self, started: Instant) -> Instant {
+    /// Returns when to commit the batch. Claims wait for the commit interval since the last batch,
+    /// so the first claim after an idle time is written at once.
+    fn commit_due(&self, started: Instant) -> Instant {
         if !self.batch.flushes.is_empty() {
             return started;
         }
         match (self.batch.claims.is_empty(), self.last) {
-            (true, _) => started + RECORD_WAIT,
-            (false, Some(last)) => last + self.linger,
+            (true, _) => started + MAX_RECORD_DELAY,
+            (false, Some(last)) => last + self.commit_interval,
             (false, None) => started,
         }
     }
 
-    async fn write(&mut self) {
-        for _ in 0..ROUND_LIMIT {
+    async fn commit_batch(&mut self) {
+        for _ in 0..MAX_COMMIT_TRIES {
             if self.batch.len() == 0 {
                 return;
             }
-            match self.store.commit(self.batch.txn()).await {
+            match self.store.commit(self.batch.to_txn()).await {
                 Ok(Commit::Done(revision)) => return self.batch.answer_stored(revision),
                 Ok(Commit::Conflict(conflicts)) => self.batch.resolve_conflicts(&conflicts),
-                Err(StoreError::Lost(_)) => return self.read_back().await,
+                Err(StoreError::Lost(_)) => return self.read_back_claims().await,
                 Err(StoreError::NotDone(_) | StoreError::Busy(_) | StoreError::Refused(_)) => break,
             }
         }
         self.batch.answer_not_stored();
     }
 
-    /// Finds out by their attempts which claims a transaction with a lost answer has stored.
-    async fn read_back(&mut self) {
+    /// Reads which claims were stored by a transaction whose reply was lost, by their attempt IDs.
+    async fn read_back_claims(&mut self) {
         let keys = self.batch.claims.iter().map(|claim| claim.key.clone()).collect();
         let Ok(rows) = self.store.read(keys).await else {
             return self.batch.answer_not_stored();
         };
         for (claim, row) in self.batch.claims.drain(..).zip(rows) {
             let reply = match row {
-                Some(row) => held(&claim.row, Some(&row)),
-                // It may still take effect later, so it counts as not stored and is never sent.
-                None => ClaimReply::NotStored,
+                Some(row) => claim_result(&claim.row, Some(&row)),
+                // The write may still take effect later, so the request must not be sent.
+                None => ClaimResult::NotStored,
             };
             let _ = claim.reply.send(reply);
         }
     }
 
-    /// Starts the next batch with what is left of this one.
-    fn next_batch(&mut self) {
-        let done = std::mem::take(&mut self.batch);
-        for flush in done.flushes {
+    /// Starts the next batch with the failed outcomes and the deferred jobs of this one.
+    fn start_next_batch(&mut self) {
+        let finished = std::mem::take(&mut self.batch);
+        for flush in finished.flushes {
             let _ = flush.send(());
         }
-        for mut record in done.records {
+        for mut record in finished.records {
             record.tries += 1;
-            if record.tries < RECORD_TRIES {
-                self.batch.add(Job::Record(record));
+            if record.tries < MAX_RECORD_TRIES {
+                self.batch.add(WriteJob::Record(record));
             }
         }
-        for job in done.deferred {
+        for job in finished.deferred {
             self.batch.add(job);
         }
     }
--- a/reachhead_entry/src/process/control_follower.rs
+++ b/reachhead_entry/src/process/control_follower.rs
@@ -1,4 +1,5 @@
-//! Follows the control of this host, on a thread of its own: configuration, members, shares.
+//! Polls the control process of this host for configuration, membership and slot limits, on a
+//! separate thread.
 
 use std::{collections::BTreeMap, io, net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -20,74 +21,76 @@
 };
 use tokio::sync::mpsc;
 
-/// Longest wait for the control's answer; it is on the same host.
-const ASK_TIME: Duration = Duration::from_millis(500);
+/// Time limit for the control process to answer; it is on the same host.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Updates that may wait for the path thread; the newest says all, so few are enough.
-const RING_SIZE: usize = 4;
+/// Number of updates that may wait for the path thread. A few suffice, since a later poll returns
+/// the latest state.
+const CHANNEL_CAPACITY: usize = 4;
 
-/// Times that the longest time to notice a list counts in the hold; docs/LIMITS.md says why two.
-const NOTICES: u32 = 2;
+/// How often the notice period of a list is counted in the delay of gained slots; docs/LIMITS.md
+/// explains why twice.
+const NOTICE_FACTOR: u32 = 2;
 
-/// How many requests this host may run at each minion.
-pub type Limits = BTreeMap<ServiceName, BTreeMap<MinionId, u32>>;
+/// The number of requests that this host may run at once on each minion.
+pub type SlotLimits = BTreeMap<ServiceName, BTreeMap<MinionId, u32>>;
 
-/// The path thread's end of the ring.
-pub type Updates = mpsc::Receiver<Update>;
+/// Receives the updates on the path thread.
+pub type ControlUpdates = mpsc::Receiver<ControlUpdate>;
 
-/// What the follow thread learned.
-pub struct Update {
-    /// A new version, if there is one.
+/// The result of one poll of the control process.
+pub struct ControlUpdate {
+    /// The new configuration, if its version changed.
     pub fleet: Option<Arc<Fleet>>,
-    /// The leaving hosts, if the platform's list is a newer one.
-    pub leaving: Option<LeavingHosts>,
-    /// New limits, if they changed.
-    pub limits: Option<Limits>,
-    /// Where the entry processes of the other hosts answer.
+    /// The leaving hosts, if the platform's host list has a newer revision.
+    pub leaving_hosts: Option<LeavingHosts>,
+    /// The slot limits, if they may have changed.
+    pub slot_limits: Option<SlotLimits>,
+    /// The addresses of the entry processes on the other member hosts.
     pub peers: Vec<SocketAddr>,
-    /// The longest time for which a request may run on a slot.
-    pub longest: Duration,
-    /// Until when this view counts as fresh; `None` if the control's list was never confirmed.
+    /// The longest time that a request may occupy a slot.
+    pub max_request_time: Duration,
+    /// Until when this view is fresh; `None` if the control process never confirmed its list.
     pub fresh_until: Option<BootInstant>,
 }
 
-struct Follower {
+struct ControlFollower {
     client: LinkClient<ControlRequest, ControlReply>,
     control: SocketAddr,
     snapshot: ConfigSnapshot,
     fleet: Arc<Fleet>,
     shares: ShareHistory,
     hosts_revision: Revision,
-    is_lost: bool,
+    is_unreachable: bool,
 }
 
-/// Starts the follow thread.
+/// Starts the `follow` thread.
 ///
 /// # Errors
 ///
-/// Fails if the system gives no thread.
-pub fn start(settings: &EntrySettings) -> io::Result<Updates> {
-    let (updates, ring) = mpsc::channel(RING_SIZE);
+/// Fails if the operating system can't start a thread.
+pub fn start(settings: &EntrySettings) -> io::Result<ControlUpdates> {
+    let (updates, receiver) = mpsc::channel(CHANNEL_CAPACITY);
     let period = Duration::from_millis(settings.link.period.get());
-    let follower = Follower {
-        client: LinkClient::new(ASK_TIME),
+    let follower = ControlFollower {
+        client: LinkClient::new(CONTROL_TIMEOUT),
         control: settings.link.control,
         snapshot: ConfigSnapshot::new(),
         fleet: Arc::default(),
         shares: ShareHistory::new(),
         hosts_revision: Revision(0),
-        is_lost: false,
+        is_unreachable: false,
     };
     thread::Builder::new()
         .name("follow".to_owned())
         .spawn(move || follower.run(&updates, period))?;
-    Ok(ring)
+    Ok(receiver)
 }
 
-impl Follower {
-    fn run(mut self, updates: &mpsc::Sender<Update>, period: Duration) {
+impl ControlFollower {
+    fn run(mut self, updates: &mpsc::Sender<ControlUpdate>, period: Duration) {
         loop {
-            if let Some(update) = self.ask()
+            if let Some(update) = self.poll_control()
                 && updates.blocking_send(update).is_err()
             {
                 return;
@@ -96,52 +99,54 @@
         }
     }
 
-    fn ask(&mut self) -> Option<Update> {
-        // Freshness counts from before the question: the answer may be as old as that.
-        let asked = BootInstant::now();
-        let question =
+    fn poll_control(&mut self) -> Option<ControlUpdate> {
+        // Freshness counts from before the request, since the reply may be as old as that.
+        let requested_at = BootInstant::now();
+        let request =
             ControlRequest::Follow { have: self.snapshot.version(), hosts: self.hosts_revision };
-        let reply = match self.client.ask(self.control, &question) {
+        let reply = match self.client.ask(self.control, &request) {
             Ok(ControlReply::Follow(reply)) => Some(reply),
             _ => None,
         };
-        if self.is_lost != reply.is_none() {
-            self.is_lost = reply.is_none();
-            let what = if self.is_lost { "no answer" } else { "answers again" };
-            emit(Event::ControlLost, format_args!("{}: {what}", self.control));
+        if self.is_unreachable != reply.is_none() {
+            self.is_unreachable = reply.is_none();
+            let status = if self.is_unreachable { "no answer" } else { "answers again" };
+            emit(Event::ControlLost, format_args!("{}: {status}", self.control));
         }
-        reply.map(|reply| self.learn(*reply, asked))
+        reply.map(|reply| self.process_reply(*reply, requested_at))
     }
 
-    fn learn(&mut self, reply: FollowReply, asked: BootInstant) -> Update {
-        let fleet = self.apply(&reply);
+    fn process_reply(&mut self, reply: FollowReply, requested_at: BootInstant) -> ControlUpdate {
+        let fleet = self.apply_delta(&reply);
         let own_host = reply.own.as_ref().map(|own| own.host.clone());
         let others = reply.members.iter().filter(|member| Some(&member.host) != own_host.as_ref());
-        // A host that is off the list can be asked by nobody, so it must not run on loans either.
+        // No other host can query a host that is not a member, so it must not use borrowed slots.
         let peers = match own_host {
             Some(_) => others.map(|member| member.entry).collect(),
             None => Vec::new(),
         };
         let hosts = reply.members.iter().map(Member::id).collect();
         let now = BootInstant::now();
-        let is_new_list = self.shares.record_list(hosts, reply.own, now);
-        let is_expired = self.shares.expire_lists(self.hold(reply.notice), now);
-        let is_changed = fleet.is_some() || is_new_list || is_expired;
+        let is_list_changed = self.shares.record_list(hosts, reply.own, now);
+        let is_expired = self.shares.expire_lists(self.gained_slot_delay(reply.notice), now);
+        let is_changed = fleet.is_some() || is_list_changed || is_expired;
         if let Some(leaving) = &reply.leaving {
             self.hosts_revision = leaving.revision;
         }
-        Update {
+        ControlUpdate {
             fleet,
-            leaving: reply.leaving,
-            limits: is_changed.then(|| self.limits()),
+            leaving_hosts: reply.leaving,
+            slot_limits: is_changed.then(|| self.slot_limits()),
             peers,
-            longest: self.longest(),
-            // By then every host that takes over a slot counts on this one having noticed.
-            fresh_until: reply.age.map(|age| asked + reply.notice.duration() - age.duration()),
+            max_request_time: self.max_request_time(),
+            // By then, hosts that gained slots rely on this host having noticed the new list.
+            fresh_until: reply
+                .age
+                .map(|age| requested_at + reply.notice.duration() - age.duration()),
         }
     }
 
-    fn apply(&mut self, reply: &FollowReply) -> Option<Arc<Fleet>> {
+    fn apply_delta(&mut self, reply: &FollowReply) -> Option<Arc<Fleet>> {
         let delta = reply.delta.as_ref()?;
         match self.snapshot.apply(delta) {
             Ok(true) => {}
@@ -165,15 +170,17 @@
         }
     }
 
-    /// How long a slot that was gained stays unused: until the one that lost it has noticed, also if
-    /// this host's own list was replaced meanwhile, and until the last request there is over.
-    fn hold(&self, notice: Millis) -> Duration {
-        NOTICES * notice.duration() + self.longest()
+    /// Returns how long a gained slot stays unused.
+    ///
+    /// By then the host that lost it has noticed the new list, even if the list of this host was
+    /// replaced again meanwhile, and its last request on the slot has ended.
+    fn gained_slot_delay(&self, notice: Millis) -> Duration {
+        NOTICE_FACTOR * notice.duration() + self.max_request_time()
     }
 
-    /// The longest time for which a request may run on a slot: its deadline, and as long again that
-    /// is left to a minion which is late.
-    fn longest(&self) -> Duration {
+    /// Returns the longest time that a request may occupy a slot: its deadline, and as long again
+    /// for a minion that responds late.
+    fn max_request_time(&self) -> Duration {
         let deadlines = self.fleet.routes.values().map(|route| {
             let group = self.fleet.tree.get(&route.group);
             let inherited = group.map(|group| group.effective.deadline);
@@ -182,7 +189,7 @@
         2 * deadlines.max().unwrap_or_default().duration()
     }
 
-    fn limits(&self) -> Limits {
+    fn slot_limits(&self) -> SlotLimits {
         let services = self.fleet.services.iter().map(|(name, service)| {
             let minions = service.minions.iter().map(|(id, row)| {
                 let minion = format!("{name}/{id}");
--- a/reachhead_entry/src/process/metrics.rs
+++ b/reachhead_entry/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the entry process.
+//! Metrics of the entry process.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
@@ -18,7 +18,7 @@
     kind: &'static str,
 }
 
-/// All counters.
+/// The metrics of the process.
 #[derive(Clone)]
 pub struct Metrics {
     ran: Family<RouteLabels, Counter>,
@@ -26,21 +26,21 @@
     errors: Family<ErrorLabels, Counter>,
     /// Requests sent to minions, retries included.
     pub sends: Counter,
-    /// Answers replayed for a key.
+    /// Responses replayed for an idempotency key.
     pub replays: Counter,
 }
 
-/// The counters of one route, looked up once a version.
+/// The metrics of one route, looked up once per configuration version.
 #[derive(Clone)]
 pub struct RouteMetrics {
     /// Requests that a minion answered.
     pub ran: Counter,
-    /// Seconds from the head's arrival to the answer's head.
+    /// Seconds from the request head to the response head.
     pub latency: Histogram,
 }
 
 impl Metrics {
-    /// Returns the counters, registered in `registry`.
+    /// Returns the metrics, registered in `registry`.
     pub fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
             ran: Family::default(),
@@ -77,7 +77,7 @@
         metrics
     }
 
-    /// Returns the counters of the route `name`.
+    /// Returns the metrics of the route `name`.
     pub fn route(&self, name: &RouteName) -> RouteMetrics {
         let labels = RouteLabels { route: name.to_string() };
         RouteMetrics {
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Counts an answer that the system made itself.
-    pub fn error(&self, kind: ErrorKind) {
+    /// Counts an error response of this system.
+    pub fn count_error(&self, kind: ErrorKind) {
         self.errors.get_or_create(&ErrorLabels { kind: kind.as_str() }).inc();
     }
 }
--- a/reachhead_entry/src/process/mod.rs
+++ b/reachhead_entry/src/process/mod.rs
@@ -1,14 +1,14 @@
-//! What lives as long as the process: its threads and what they share.
+//! The threads of the process and the state that they share.
 //!
-//! One thread for each duty, joined by bounded rings:
+//! The threads communicate over bounded channels:
 //!
-//! - `path` (the main thread): callers, queues, minions. Everything that a request touches lives
-//!   here without a lock.
-//! - `follow`: asks the control of this host for what is new.
-//! - `claims`: writes claims to the store in batches.
-//! - `asks`: asks other entry hosts about their claims and for loans of slots.
-//! - `link`: answers other entry hosts.
-//! - `ops`: answers operators.
+//! - the path thread (the main thread) handles callers, queues and minions. It owns all state that
+//!   a request needs, so this state has no locks.
+//! - `follow` polls the control process of this host for configuration and membership.
+//! - `claims` writes idempotency claims to the store in batches.
+//! - `asks` queries other entry hosts about their claims and borrows slots from them.
+//! - `link` answers requests of other entry hosts.
+//! - `ops` answers operators.
 
 pub mod claim_writer;
 mod control_follower;
@@ -41,95 +41,98 @@
 use crate::{
     connection::accept,
     process::{
-        control_follower::Updates, metrics::Metrics, peer_server::Question, proxy::Core,
-        status::EntryObserved,
+        control_follower::ControlUpdates, metrics::Metrics, peer_server::PathRequest, proxy::Proxy,
+        status::EntryStatus,
     },
 };
 
-/// Length of each ring between threads, where settings don't say.
-const RING_SIZE: usize = 64;
+/// Capacity of the channel of requests to the path thread.
+const CHANNEL_CAPACITY: usize = 64;
 
-/// Runs the entry process until a shutdown is asked for.
+/// Runs the entry process until a shutdown signal, then drains the requests in flight.
 pub fn run(settings: EntrySettings) -> Result<(), LinkError> {
     let mut registry = Registry::default();
     let metrics = Metrics::new(&mut registry);
     let incarnation = Incarnation(rand::random());
-    let (questions, asked) = mpsc::channel(RING_SIZE);
-    let (ready, observed) = EntryObserved::new(questions.clone());
-    listener::start(settings.ops.address, Arc::new(observed), registry)?;
-    server::serve(settings.link.ask, peer_server::EntryResponder::new(questions))?;
+    let (requests, path_requests) = mpsc::channel(CHANNEL_CAPACITY);
+    let (readiness, status) = EntryStatus::new(requests.clone());
+    listener::start(settings.ops.address, Arc::new(status), registry)?;
+    server::serve(settings.link.ask, peer_server::PeerResponder::new(requests))?;
     let updates = control_follower::start(&settings)?;
-    let claims = claim_writer::start(&settings)?;
-    let asks = peer_client::start(&settings)?;
+    let claim_writer = claim_writer::start(&settings)?;
+    let peer_client = peer_client::start(&settings)?;
 
     let runtime = runtime::single()?;
-    let core = Core::new(settings, incarnation, metrics, claims, asks, ready);
-    LocalSet::new().block_on(&runtime, path(core, updates, asked))?;
+    let proxy = Proxy::new(settings, incarnation, metrics, claim_writer, peer_client, readiness);
+    LocalSet::new().block_on(&runtime, run_path(proxy, updates, path_requests))?;
     Ok(())
 }
 
-/// The path thread: its event loop hands each thing that happens on to its module.
-async fn path(
-    core: Rc<Core>,
-    mut updates: Updates,
-    mut asked: mpsc::Receiver<Question>,
+/// Runs the event loop of the path thread.
+async fn run_path(
+    proxy: Rc<Proxy>,
+    mut updates: ControlUpdates,
+    mut path_requests: mpsc::Receiver<PathRequest>,
 ) -> io::Result<()> {
-    let address = core.settings.callers.address;
+    let address = proxy.settings.callers.address;
     let listener = reachhead_ops::http::listen(address).await?;
-    emit(Event::Started, format_args!("entry of {} on {address}", core.settings.host));
+    emit(Event::Started, format_args!("entry of {} on {address}", proxy.settings.host));
     let (stop, stopped) = watch::channel(false);
-    let accepting = tokio::task::spawn_local(accept::run(Rc::clone(&core), listener, stopped));
-    let shutdown = shut_down(&core, &stop);
+    let accepting = tokio::task::spawn_local(accept::run(Rc::clone(&proxy), listener, stopped));
+    let shutdown = await_shutdown(&proxy, &stop);
     tokio::pin!(shutdown);
     loop {
         tokio::select! {
-            Some(update) = updates.recv() => core.take_update(update),
-            Some(question) = asked.recv() => question.answer(&core),
+            Some(update) = updates.recv() => proxy.apply_update(update),
+            Some(request) = path_requests.recv() => request.answer(&proxy),
             result = &mut shutdown => {
                 result?;
                 break;
             }
         }
     }
-    finish(&core, accepting, &mut updates, &mut asked).await;
+    finish_requests(&proxy, accepting, &mut updates, &mut path_requests).await;
     Ok(())
 }
 
-/// Waits for the signal, is not ready for the balancer's lag, then stops accepting.
-async fn shut_down(core: &Core, stop: &watch::Sender<bool>) -> io::Result<()> {
+/// Waits for the shutdown signal and reports not ready, then stops accepting connections after the
+/// time that the load balancer needs to notice.
+async fn await_shutdown(proxy: &Proxy, stop: &watch::Sender<bool>) -> io::Result<()> {
     runtime::shutdown_signal().await?;
     emit(Event::ShutdownBegun, "not ready from now on");
-    core.begin_shutdown();
-    time::sleep(core.settings.shutdown.lag.duration()).await;
+    proxy.begin_shutdown();
+    time::sleep(proxy.settings.shutdown.lag.duration()).await;
     stop.send_replace(true);
     Ok(())
 }
 
-/// Finishes what is in flight; configuration and questions still count until then.
-async fn finish(
-    core: &Core,
+/// Waits for the requests in flight, up to the time limit for a shutdown.
+///
+/// Updates and requests of other threads are still handled meanwhile.
+async fn finish_requests(
+    proxy: &Proxy,
     accepting: tokio::task::JoinHandle<()>,
-    updates: &mut Updates,
-    asked: &mut mpsc::Receiver<Question>,
+    updates: &mut ControlUpdates,
+    path_requests: &mut mpsc::Receiver<PathRequest>,
 ) {
-    let limit = time::sleep(core.settings.shutdown.limit.duration());
+    let limit = time::sleep(proxy.settings.shutdown.limit.duration());
     tokio::pin!(limit, accepting);
     loop {
         tokio::select! {
-            ended = &mut accepting => {
-                if let Err(error) = ended {
-                    debug!("accepting ended: {error}");
+            result = &mut accepting => {
+                if let Err(error) = result {
+                    debug!("accept task failed: {error}");
                 }
                 break;
             }
             () = &mut limit => {
-                emit(Event::ShutdownCut, "requests were still in flight");
+                emit(Event::ShutdownCut, "requests were still in flight at the time limit");
                 return;
             }
-            Some(update) = updates.recv() => core.take_update(update),
-            Some(question) = asked.recv() => question.answer(core),
+            Some(update) = updates.recv() => proxy.apply_update(update),
+            Some(request) = path_requests.recv() => request.answer(proxy),
         }
     }
-    core.claims.flush().await;
+    proxy.claim_writer.flush().await;
     emit(Event::ShutdownDone, "entry");
 }
--- a/reachhead_entry/src/process/peer_client.rs
+++ b/reachhead_entry/src/process/peer_client.rs
@@ -1,4 +1,4 @@
-//! Asks other entry hosts about attempts and for loans, on a thread of its own.
+//! Sends requests about attempts and loans to other entry hosts, on a separate thread.
 
 use std::{io, net::SocketAddr, thread, time::Duration};
 
@@ -10,51 +10,53 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// Questions that may wait; each may take the whole ask time, so more would only be late.
-const RING_SIZE: usize = 16;
+/// Capacity of the queue. Each request may take until its timeout, so the answers to more would
+/// come too late.
+const CHANNEL_CAPACITY: usize = 16;
 
-struct Job {
+struct PeerCall {
     address: SocketAddr,
-    question: EntryRequest,
+    request: EntryRequest,
     reply: oneshot::Sender<Option<EntryReply>>,
 }
 
-/// The path thread's end of the ring.
-pub struct Asks {
-    jobs: mpsc::Sender<Job>,
+/// Sends requests to other entry hosts without blocking the path thread.
+pub struct PeerClient {
+    calls: mpsc::Sender<PeerCall>,
 }
 
-impl Asks {
-    /// Asks the entry process at `address`; `None` if it can't be asked.
-    pub async fn ask(&self, address: SocketAddr, question: EntryRequest) -> Option<EntryReply> {
-        let (reply, answer) = oneshot::channel();
-        self.jobs.try_send(Job { address, question, reply }).ok()?;
-        answer.await.ok()?
+impl PeerClient {
+    /// Sends a request to the entry process at `address`; returns `None` if the queue is full or
+    /// the process does not answer.
+    pub async fn call(&self, address: SocketAddr, request: EntryRequest) -> Option<EntryReply> {
+        let (reply, received) = oneshot::channel();
+        self.calls.try_send(PeerCall { address, request, reply }).ok()?;
+        received.await.ok()?
     }
 }
 
-/// Starts the ask thread.
+/// Starts the `asks` thread.
 ///
 /// # Errors
 ///
-/// Fails if the system gives no thread.
-pub fn start(settings: &EntrySettings) -> io::Result<Asks> {
-    let (jobs, ring) = mpsc::channel(RING_SIZE);
+/// Fails if the operating system can't start a thread.
+pub fn start(settings: &EntrySettings) -> io::Result<PeerClient> {
+    let (calls, queued_calls) = mpsc::channel(CHANNEL_CAPACITY);
     let timeout = Duration::from_millis(settings.claims.ask_time.get());
-    thread::Builder::new().name("asks".to_owned()).spawn(move || run(ring, timeout))?;
-    Ok(Asks { jobs })
+    thread::Builder::new().name("asks".to_owned()).spawn(move || run(queued_calls, timeout))?;
+    Ok(PeerClient { calls })
 }
 
-fn run(mut ring: mpsc::Receiver<Job>, timeout: Duration) {
+fn run(mut calls: mpsc::Receiver<PeerCall>, timeout: Duration) {
     let mut client = LinkClient::new(timeout);
-    while let Some(Job { address, question, reply }) = ring.blocking_recv() {
+    while let Some(PeerCall { address, request, reply }) = calls.blocking_recv() {
         if reply.is_closed() {
             continue;
         }
-        let answer = client.ask(address, &question);
-        if let Err(error) = &answer {
-            debug!("asking {address}: {error}");
+        let result = client.ask(address, &request);
+        if let Err(error) = &result {
+            debug!("request to entry host {address} failed: {error}");
         }
-        let _ = reply.send(answer.ok());
+        let _ = reply.send(result.ok());
     }
 }
--- a/reachhead_entry/src/process/peer_server.rs
+++ b/reachhead_entry/src/process/peer_server.rs
@@ -1,4 +1,5 @@
-//! Questions that other threads ask the path thread, among them other entry hosts' questions.
+//! Answers requests of other entry hosts, and defines the requests of other threads to the path
+//! thread.
 
 use std::{sync::mpsc as blocking, time::Duration};
 
@@ -11,58 +12,58 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::process::proxy::Core;
+use crate::process::proxy::Proxy;
 
-/// Longest wait for the path thread; it is short because askers wait too.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
+/// Time limit for the path thread to answer; short, because the requesting host waits as well.
+const PATH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A question to the path thread.
-pub enum Question {
-    /// What the state is.
+/// A request of another thread to the path thread.
+pub enum PathRequest {
+    /// A request for the state of the process.
     State {
-        /// Where the answer goes.
+        /// Receives the state as JSON.
         reply: oneshot::Sender<Value>,
     },
-    /// What another entry host asks.
+    /// A request of another entry host.
     Peer {
-        /// Its question.
+        /// The request.
         request: EntryRequest,
-        /// Where the answer goes.
+        /// Receives the reply.
         reply: blocking::SyncSender<EntryReply>,
     },
 }
 
-impl Question {
-    /// Answers from the path thread's state; an asker that is gone is no matter.
-    pub fn answer(self, core: &Core) {
+impl PathRequest {
+    /// Handles the request on the path thread; ignores a requester that has timed out.
+    pub fn answer(self, proxy: &Proxy) {
         match self {
             Self::State { reply } => {
-                let state = serde_json::to_value(core.state()).unwrap_or_default();
+                let state = serde_json::to_value(proxy.report()).unwrap_or_default();
                 let _ = reply.send(state);
             }
             Self::Peer { request, reply } => {
-                let _ = reply.try_send(peer_reply(core, request));
+                let _ = reply.try_send(handle_peer_request(proxy, request));
             }
         }
     }
 }
 
-fn peer_reply(core: &Core, request: EntryRequest) -> EntryReply {
+fn handle_peer_request(proxy: &Proxy, request: EntryRequest) -> EntryReply {
     match request {
-        EntryRequest::Claim { incarnation, attempt } if incarnation == core.incarnation => {
-            attempt_reply(core, attempt)
+        EntryRequest::Claim { incarnation, attempt } if incarnation == proxy.incarnation => {
+            attempt_reply(proxy, attempt)
         }
         EntryRequest::Claim { .. } => EntryReply::Stranger,
-        EntryRequest::Borrow { service, want } => core.lend(&service, want),
+        EntryRequest::Borrow { service, want } => proxy.lend(&service, want),
         EntryRequest::Return { loan } => {
-            core.take_back(loan);
+            proxy.reclaim(loan);
             EntryReply::Returned
         }
     }
 }
 
-fn attempt_reply(core: &Core, attempt: AttemptId) -> EntryReply {
-    match core.attempts.borrow().state(attempt) {
+fn attempt_reply(proxy: &Proxy, attempt: AttemptId) -> EntryReply {
+    match proxy.attempts.borrow().state(attempt) {
         None => EntryReply::Stranger,
         Some(AttemptState::Pending | AttemptState::Sent) => EntryReply::InProgress,
         Some(AttemptState::Abandoned) => EntryReply::Abandoned,
@@ -72,24 +73,24 @@
     }
 }
 
-/// Answers other entry hosts, on the link thread.
-pub struct EntryResponder {
-    questions: mpsc::Sender<Question>,
+/// Answers requests of other entry hosts, on the `link` thread.
+pub struct PeerResponder {
+    path_requests: mpsc::Sender<PathRequest>,
 }
 
-impl EntryResponder {
-    /// Returns a responder that hands questions to the path thread.
-    pub fn new(questions: mpsc::Sender<Question>) -> Self {
-        Self { questions }
+impl PeerResponder {
+    /// Returns a responder that forwards requests to the path thread.
+    pub fn new(path_requests: mpsc::Sender<PathRequest>) -> Self {
+        Self { path_requests }
     }
 }
 
-impl Responder<EntryRequest, EntryReply> for EntryResponder {
+impl Responder<EntryRequest, EntryReply> for PeerResponder {
     fn respond(&mut self, request: EntryRequest) -> EntryReply {
-        let (reply, answer) = blocking::sync_channel(1);
-        if self.questions.try_send(Question::Peer { request, reply }).is_err() {
+        let (reply, received) = blocking::sync_channel(1);
+        if self.path_requests.try_send(PathRequest::Peer { request, reply }).is_err() {
             return EntryReply::Stranger;
         }
-        answer.recv_timeout(ANSWER_TIME).unwrap_or(EntryReply::Stranger)
+        received.recv_timeout(PATH_TIMEOUT).unwrap_or(EntryReply::Stranger)
     }
 }
--- a/reachhead_entry/src/process/service.rs
+++ b/reachhead_entry/src/process/service.rs
@@ -1,4 +1,4 @@
-//! The services: each with its minions, its fair queue and its retry budget.
+//! The services, each with its minions, its fair queue and its retry budget.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,22 +25,22 @@
 use tokio::{sync::oneshot, time};
 
 use crate::process::{
-    control_follower::Limits,
+    control_follower::SlotLimits,
     minion::{Minion, MinionReport},
-    slot_borrower::Loans,
+    slot_borrower::SlotBorrower,
 };
 
-/// All services of the configuration in force.
+/// All services of the current configuration.
 #[derive(Default)]
 pub struct Services {
     services: RefCell<BTreeMap<ServiceName, Rc<Service>>>,
 }
 
-/// One service.
+/// A service.
 pub struct Service {
     name: ServiceName,
     inner: RefCell<Inner>,
-    loans: Rc<Loans>,
+    borrower: Rc<SlotBorrower>,
     is_borrowing: Cell<bool>,
 }
 
@@ -51,15 +51,15 @@
     rng: SmallRng,
 }
 
-/// A service as `/state` shows it.
+/// A service in the response to `/state`.
 #[derive(Debug, Serialize)]
-pub struct ServiceState {
+pub struct ServiceReport {
     name: ServiceName,
     waiting: usize,
     minions: Vec<MinionReport>,
 }
 
-/// Someone who waits for a permit.
+/// A queued request that waits for a permit.
 struct Waiter {
     tried: Vec<MinionId>,
     reply: oneshot::Sender<Result<Permit, ErrorKind>>,
@@ -71,7 +71,7 @@
     }
 }
 
-/// The right to run one request at a minion; dropping it gives the slot to the next.
+/// A slot of a minion for one request; dropping it hands the slot to the next queued request.
 pub struct Permit {
     service: Rc<Service>,
     /// The minion.
@@ -82,27 +82,28 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.minion.end();
-        let took = self.started.elapsed();
-        self.service.inner.borrow_mut().queue.settle(&self.charge, took);
-        self.service.pump();
+        self.minion.end_request();
+        let duration = self.started.elapsed();
+        self.service.inner.borrow_mut().queue.settle(&self.charge, duration);
+        self.service.grant_slots();
     }
 }
 
 impl Services {
-    /// Returns the service of `name`.
+    /// Returns the service with the name `name`.
     pub fn get(&self, name: &ServiceName) -> Option<Rc<Service>> {
         self.services.borrow().get(name).cloned()
     }
 
-    /// Brings the services in line with `fleet`; requests under way keep what they hold.
-    pub fn update(&self, fleet: &Fleet, zone: &ZoneName, loans: &Rc<Loans>) {
+    /// Updates the services to `fleet`; requests in flight keep their slots and connections.
+    pub fn update(&self, fleet: &Fleet, zone: &ZoneName, borrower: &Rc<SlotBorrower>) {
         let mut services = self.services.borrow_mut();
         services.retain(|name, _| fleet.services.contains_key(name));
-        for (name, described) in &fleet.services {
-            let service =
-                services.entry(name.clone()).or_insert_with(|| Service::new(name.clone(), loans));
-            service.update(described, zone);
+        for (name, config) in &fleet.services {
+            let service = services
+                .entry(name.clone())
+                .or_insert_with(|| Service::new(name.clone(), borrower));
+            service.update(config, zone);
         }
         for route in fleet.routes.values() {
             if let (Some(service), Some(group)) =
@@ -113,17 +114,17 @@
         }
     }
 
-    /// Sets the limits of all minions.
-    pub fn set_limits(&self, limits: &Limits) {
+    /// Sets the slots of all minions.
+    pub fn set_slot_limits(&self, limits: &SlotLimits) {
         for (name, service) in &*self.services.borrow() {
             if let Some(limits) = limits.get(name) {
-                service.set_limits(limits);
+                service.set_slot_limits(limits);
             }
         }
     }
 
-    /// Sets the hosts whose minions get nothing new.
-    pub fn set_leaving(&self, hosts: &BTreeSet<HostId>) {
+    /// Sets the leaving hosts, whose minions get no new requests.
+    pub fn set_leaving_hosts(&self, hosts: &BTreeSet<HostId>) {
         for service in self.services.borrow().values() {
             for minion in &service.inner.borrow().minions {
                 minion.set_host_leaving(hosts);
@@ -131,28 +132,28 @@
         }
     }
 
-    /// Takes back what was lent as `loan`.
-    pub fn take_back(&self, loan: LoanId) {
+    /// Ends `loan`, so that its slots can be used here again.
+    pub fn reclaim(&self, loan: LoanId) {
         for service in self.services.borrow().values() {
-            service.take_back(loan);
+            service.reclaim(loan);
         }
     }
 
-    /// Tells whether this host may run anything anywhere, or there is nothing to run.
-    pub fn has_share(&self) -> bool {
+    /// Returns whether this host has a slot of any minion, or there are no minions.
+    pub fn has_slots(&self) -> bool {
         let services = self.services.borrow();
-        let mut used = services.values().filter(|service| service.has_minions()).peekable();
-        used.peek().is_none() || used.any(|service| service.slots() > 0)
+        let mut in_use = services.values().filter(|service| service.has_minions()).peekable();
+        in_use.peek().is_none() || in_use.any(|service| service.slots() > 0)
     }
 
-    /// Returns the services for operators.
-    pub fn state(&self) -> Vec<ServiceState> {
-        self.services.borrow().values().map(|service| service.state()).collect()
+    /// Returns the services for `/state`.
+    pub fn report(&self) -> Vec<ServiceReport> {
+        self.services.borrow().values().map(|service| service.report()).collect()
     }
 }
 
 impl Service {
-    fn new(name: ServiceName, loans: &Rc<Loans>) -> Rc<Self> {
+    fn new(name: ServiceName, borrower: &Rc<SlotBorrower>) -> Rc<Self> {
         let inner = Inner {
             minions: Vec::new(),
             queue: FairQueue::new(),
@@ -162,16 +163,16 @@
         Rc::new(Self {
             name,
             inner: RefCell::new(inner),
-            loans: Rc::clone(loans),
+            borrower: Rc::clone(borrower),
             is_borrowing: Cell::new(false),
         })
     }
 
-    fn update(&self, described: &fleet::Service, zone: &ZoneName) {
+    fn update(&self, config: &fleet::Service, zone: &ZoneName) {
         let mut inner = self.inner.borrow_mut();
-        let mut minions = Vec::with_capacity(described.minions.len());
-        for (id, row) in &described.minions {
-            let is_same = |minion: &&Rc<Minion>| minion.id == *id && minion.is_at(row);
+        let mut minions = Vec::with_capacity(config.minions.len());
+        for (id, row) in &config.minions {
+            let is_same = |minion: &&Rc<Minion>| minion.id == *id && minion.is_same_server(row);
             let minion = match inner.minions.iter().find(is_same) {
                 Some(minion) => Rc::clone(minion),
                 None => Minion::new(id.clone(), self.name.clone(), row.clone(), zone),
@@ -187,11 +188,11 @@
         self.inner.borrow_mut().queue.set_group(group, settings.weight, limit);
     }
 
-    fn set_limits(self: &Rc<Self>, limits: &BTreeMap<MinionId, u32>) {
+    fn set_slot_limits(self: &Rc<Self>, limits: &BTreeMap<MinionId, u32>) {
         for minion in &self.inner.borrow().minions {
-            minion.set_share(limits.get(&minion.id).copied().unwrap_or_default());
+            minion.set_slots(limits.get(&minion.id).copied().unwrap_or_default());
         }
-        self.pump();
+        self.grant_slots();
     }
 
     fn has_minions(&self) -> bool {
@@ -202,30 +203,31 @@
         self.inner.borrow().slots(BootInstant::now())
     }
 
-    fn state(&self) -> ServiceState {
+    fn report(&self) -> ServiceReport {
         let inner = self.inner.borrow();
-        ServiceState {
+        ServiceReport {
             name: self.name.clone(),
             waiting: inner.queue.len(),
             minions: inner.minions.iter().map(|minion| minion.report()).collect(),
         }
     }
 
-    /// Waits for a minion that may run a request, a `tried` one only if there is no other.
+    /// Waits for a slot of a minion; one of `tried` is chosen only if there is no other.
     ///
     /// # Errors
     ///
-    /// `NoMinion`, `Overloaded` or `DeadlineInQueue`, each as soon as it is known.
+    /// Returns `NoMinion` or `Overloaded` without waiting, and `DeadlineInQueue` once the deadline
+    /// passes in the queue.
     pub async fn acquire(
         self: &Rc<Self>,
-        ask: &QueueRequest,
+        queue_request: &QueueRequest,
         tried: &[MinionId],
     ) -> Result<Permit, ErrorKind> {
-        let granted = match self.try_acquire(ask, tried)? {
+        let granted = match self.try_acquire(queue_request, tried)? {
             Acquired::Now(permit) => return Ok(permit),
             Acquired::Later(granted) => granted,
         };
-        match time::timeout(ask.deadline.left(), granted).await {
+        match time::timeout(queue_request.deadline.left(), granted).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(ErrorKind::NoMinion),
             Err(_) => Err(ErrorKind::DeadlineInQueue),
@@ -234,7 +236,7 @@
 
     fn try_acquire(
         self: &Rc<Self>,
-        ask: &QueueRequest,
+        queue_request: &QueueRequest,
         tried: &[MinionId],
     ) -> Result<Acquired, ErrorKind> {
         let now = BootInstant::now();
@@ -242,20 +244,20 @@
         if inner.queue.is_empty()
             && let Some(minion) = inner.choose(tried, now)
         {
-            let charge = inner.queue.charge(&ask.group);
+            let charge = inner.queue.charge(&queue_request.group);
             return Ok(Acquired::Now(self.permit(minion, charge, now)));
         }
         let slots = inner.slots(now);
-        // Without a slot of its own this host can still borrow some.
-        if slots == 0 && (inner.minions.is_empty() || !self.loans.is_possible()) {
+        // A host without own slots can still borrow some.
+        if slots == 0 && (inner.minions.is_empty() || !self.borrower.can_borrow()) {
             return Err(ErrorKind::NoMinion);
         }
         let (reply, granted) = oneshot::channel();
         let waiter = Waiter { tried: tried.to_vec(), reply };
-        match inner.queue.push(ask, waiter, slots, now) {
+        match inner.queue.push(queue_request, waiter, slots, now) {
             Ok(()) => {
                 drop(inner);
-                self.loans.need(self);
+                self.borrower.borrow_while_queued(self);
                 Ok(Acquired::Later(granted))
             }
             Err(QueueError::Full | QueueError::Late) => Err(ErrorKind::Overloaded),
@@ -263,16 +265,16 @@
     }
 
     fn permit(self: &Rc<Self>, minion: Rc<Minion>, charge: Charge, now: BootInstant) -> Permit {
-        minion.start();
+        minion.start_request();
         Permit { service: Rc::clone(self), minion, charge, started: now }
     }
 
-    /// Hands free slots to those who wait, by their groups' shares.
-    fn pump(self: &Rc<Self>) {
-        // Nothing is sent while the state is borrowed: a receiver that is gone drops its permit
-        // here, which ends in another pump.
-        while let Some(next) = self.next_turn() {
-            for waiter in next.late {
+    /// Grants free slots to queued requests, in the order of the fair queue.
+    fn grant_slots(self: &Rc<Self>) {
+        // Permits are sent while `inner` is not borrowed: if a receiver is gone, its permit is
+        // dropped here and calls this function again.
+        while let Some(next) = self.next_grant() {
+            for waiter in next.expired {
                 let _ = waiter.reply.send(Err(ErrorKind::DeadlineInQueue));
             }
             let Some((waiter, permit)) = next.granted else {
@@ -282,18 +284,18 @@
         }
     }
 
-    fn next_turn(self: &Rc<Self>) -> Option<NextTurn> {
+    fn next_grant(self: &Rc<Self>) -> Option<NextGrant> {
         let now = BootInstant::now();
         let mut inner = self.inner.borrow_mut();
         if inner.queue.is_empty() || inner.choose(&[], now).is_none() {
             return None;
         }
-        let popped = inner.queue.pop(now);
-        let granted = popped.next.and_then(|Dequeued { item, charge }| {
+        let dequeued = inner.queue.pop(now);
+        let granted = dequeued.next.and_then(|Dequeued { item, charge }| {
             let minion = inner.choose(&item.tried, now)?;
             Some((item, self.permit(minion, charge, now)))
         });
-        Some(NextTurn { granted, late: popped.late })
+        Some(NextGrant { granted, expired: dequeued.late })
     }
 
     /// Returns the service's name.
@@ -301,22 +303,22 @@
         &self.name
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> u32 {
         self.inner.borrow().queue.len() as u32
     }
 
-    /// Tells whether nobody borrows for this service yet, and marks that someone does.
-    pub fn begin_borrowing(&self) -> bool {
+    /// Marks the service as borrowing and returns whether it was not before.
+    pub fn try_begin_borrowing(&self) -> bool {
         !self.is_borrowing.replace(true)
     }
 
-    /// Marks that nobody borrows for this service any more.
+    /// Marks the service as not borrowing.
     pub fn end_borrowing(&self) {
         self.is_borrowing.set(false);
     }
 
-    /// Lends up to `want` slots, if no request waits here.
+    /// Lends up to `want` slots to another entry host, if no request is queued here.
     pub fn lend(&self, loan: LoanId, want: u32, grace: Duration) -> Vec<LentSlots> {
         let inner = self.inner.borrow();
         let now = BootInstant::now();
@@ -332,25 +334,25 @@
         lent
     }
 
-    /// Takes back what was lent as `loan`.
-    fn take_back(self: &Rc<Self>, loan: LoanId) {
+    /// Ends `loan`, so that its slots can be used here again.
+    fn reclaim(self: &Rc<Self>, loan: LoanId) {
         for minion in &self.inner.borrow().minions {
-            minion.take_back(loan);
+            minion.reclaim(loan);
         }
-        self.pump();
+        self.grant_slots();
     }
 
-    /// Uses slots that were borrowed by a question asked at `asked`.
-    pub fn borrow(self: &Rc<Self>, loan: LoanId, lent: &[LentSlots], asked: BootInstant) {
+    /// Adds slots that were borrowed with a request sent at `requested_at`.
+    pub fn add_loan(self: &Rc<Self>, loan: LoanId, lent: &[LentSlots], requested_at: BootInstant) {
         for LentSlots { minion, slots } in lent {
             if let Some(minion) = self.minion(minion) {
-                minion.borrow(loan, *slots, asked);
+                minion.add_loan(loan, *slots, requested_at);
             }
         }
-        self.pump();
+        self.grant_slots();
     }
 
-    /// Tells whether more requests run at one of the minions of `lent` than this host may run now.
+    /// Returns whether a minion in `lent` runs more requests of this host than its limit allows.
     pub fn is_over_limit(&self, lent: &[LentSlots]) -> bool {
         let now = BootInstant::now();
         let minions = lent.iter().filter_map(|lent| self.minion(&lent.minion));
@@ -361,12 +363,12 @@
         self.inner.borrow().minions.iter().find(|minion| minion.id == *id).cloned()
     }
 
-    /// Notes a success, which earns a part of a retry.
-    pub fn succeed(&self) {
+    /// Records a success, which adds to the retry budget.
+    pub fn record_success(&self) {
         self.inner.borrow_mut().retries.record_success();
     }
 
-    /// Takes a retry off the budget, if there is one.
+    /// Takes a retry from the budget and returns whether there was one.
     pub fn take_retry(&self) -> bool {
         self.inner.borrow_mut().retries.take()
     }
@@ -377,57 +379,58 @@
     Later(oneshot::Receiver<Result<Permit, ErrorKind>>),
 }
 
-struct NextTurn {
+struct NextGrant {
     granted: Option<(Waiter, Permit)>,
-    late: Vec<Waiter>,
+    expired: Vec<Waiter>,
 }
 
 impl Inner {
-    /// Returns the slots at minions that take new work.
+    /// Returns the number of slots of the serving minions, or of all minions if that is zero.
     fn slots(&self, now: BootInstant) -> u32 {
         let serving = self.minions.iter().filter(|minion| minion.is_serving(now));
         let slots: u32 = serving.map(|minion| minion.limit(now)).sum();
         match slots {
-            // Everyone is leaving: better a leaving minion than none.
+            // All minions are leaving; using a leaving minion is better than failing requests.
             0 => self.minions.iter().map(|minion| minion.limit(now)).sum(),
             slots => slots,
         }
     }
 
     fn choose(&mut self, tried: &[MinionId], now: BootInstant) -> Option<Rc<Minion>> {
-        let openness = self.openness(now);
+        let eligibility = self.eligibility(now);
         let candidates = self.minions.iter().map(|minion| {
-            minion.candidate(now, openness.takes(minion, now), tried.contains(&minion.id))
+            minion.candidate(now, eligibility.allows(minion, now), tried.contains(&minion.id))
         });
         let index = pick::choose(candidates, &mut self.rng)?;
         Some(Rc::clone(&self.minions[index]))
     }
 
-    /// Neither ejection nor leaving may empty a service: the best that there is counts as open.
-    fn openness(&self, now: BootInstant) -> Openness {
-        let levels = [Openness::Good, Openness::Serving];
-        let has = |level: &Openness| {
-            self.minions.iter().any(|minion| minion.limit(now) > 0 && level.takes(minion, now))
+    /// Returns the strictest eligibility that a minion with slots satisfies, so that neither
+    /// ejection nor leaving can exclude all minions of a service.
+    fn eligibility(&self, now: BootInstant) -> Eligibility {
+        let levels = [Eligibility::Healthy, Eligibility::Serving];
+        let has = |level: &Eligibility| {
+            self.minions.iter().any(|minion| minion.limit(now) > 0 && level.allows(minion, now))
         };
-        levels.into_iter().find(has).unwrap_or(Openness::Any)
+        levels.into_iter().find(has).unwrap_or(Eligibility::Any)
     }
 }
 
-/// Which minions get new requests.
+/// The minions that get new requests.
 #[derive(Debug, Clone, Copy)]
-enum Openness {
-    /// Those that serve and are not ejected.
-    Good,
-    /// Those that serve, since all of them are ejected.
+enum Eligibility {
+    /// Minions that are serving and not ejected.
+    Healthy,
+    /// All serving minions, since all of them are ejected.
     Serving,
-    /// All, since all of them are leaving.
+    /// All minions, since all of them are leaving.
     Any,
 }
 
-impl Openness {
-    fn takes(self, minion: &Minion, now: BootInstant) -> bool {
+impl Eligibility {
+    fn allows(self, minion: &Minion, now: BootInstant) -> bool {
         match self {
-            Self::Good => minion.is_serving(now) && !minion.is_ejected(now),
+            Self::Healthy => minion.is_serving(now) && !minion.is_ejected(now),
             Self::Serving => minion.is_serving(now),
             Self::Any => true,
         }
--- a/reachhead_entry/src/process/slot_borrower.rs
+++ b/reachhead_entry/src/process/slot_borrower.rs
@@ -1,4 +1,4 @@
-//! Borrows slots of other entry hosts when requests wait here, and returns them.
+//! Borrows slots from other entry hosts while requests are queued here, and returns them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,54 +13,54 @@
 use reachhead_types::{boot_instant::BootInstant, id::LoanId};
 use tokio::{task::spawn_local, time};
 
-use crate::process::{peer_client::Asks, service::Service};
+use crate::process::{peer_client::PeerClient, service::Service};
 
-/// Pause between two questions for loans of one service.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two loan requests for a service.
+const BORROW_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause between two looks whether requests on borrowed slots are over.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Pause between two checks whether the requests on borrowed slots have ended.
+const RETURN_CHECK_PAUSE: Duration = Duration::from_millis(20);
 
-/// What borrowing needs to know of the other entry hosts.
-pub struct Loans {
-    asks: Rc<Asks>,
+/// Borrows slots from the entry processes of other hosts.
+pub struct SlotBorrower {
+    peer_client: Rc<PeerClient>,
     peers: RefCell<Vec<SocketAddr>>,
-    /// The longest time for which a request may run on a slot.
-    longest: Cell<Duration>,
-    is_on: bool,
+    /// The longest time that a request may occupy a slot.
+    max_request_time: Cell<Duration>,
+    is_enabled: bool,
 }
 
-impl Loans {
-    /// Returns loans over `asks`; nothing is borrowed unless `is_on`.
-    pub fn new(asks: Rc<Asks>, is_on: bool) -> Rc<Self> {
+impl SlotBorrower {
+    /// Returns a borrower that uses `peer_client`; it does nothing unless `is_enabled`.
+    pub fn new(peer_client: Rc<PeerClient>, is_enabled: bool) -> Rc<Self> {
         let peers = RefCell::default();
-        Rc::new(Self { asks, peers, longest: Cell::default(), is_on })
+        Rc::new(Self { peer_client, peers, max_request_time: Cell::default(), is_enabled })
     }
 
-    /// Sets the other entry hosts and the longest time of a request.
-    pub fn update(&self, peers: Vec<SocketAddr>, longest: Duration) {
+    /// Sets the addresses of the other entry processes and the longest time of a request.
+    pub fn update(&self, peers: Vec<SocketAddr>, max_request_time: Duration) {
         *self.peers.borrow_mut() = peers;
-        self.longest.set(longest);
+        self.max_request_time.set(max_request_time);
     }
 
-    /// Returns for how long after a loan's term its requests may still run.
-    pub fn grace(&self) -> Duration {
-        self.longest.get()
+    /// Returns how long requests may still run on borrowed slots after the end of a loan.
+    pub fn loan_grace(&self) -> Duration {
+        self.max_request_time.get()
     }
 
-    /// Tells whether there is anyone to borrow from.
-    pub fn is_possible(&self) -> bool {
-        self.is_on && !self.peers.borrow().is_empty()
+    /// Returns whether borrowing is enabled and there are other entry hosts.
+    pub fn can_borrow(&self) -> bool {
+        self.is_enabled && !self.peers.borrow().is_empty()
     }
 
-    /// Borrows for `service` as long as requests wait there; one task a service does.
-    pub fn need(self: &Rc<Self>, service: &Rc<Service>) {
-        if !self.is_possible() || !service.begin_borrowing() {
+    /// Starts a task that borrows for `service` while it has queued requests, unless one runs.
+    pub fn borrow_while_queued(self: &Rc<Self>, service: &Rc<Service>) {
+        if !self.can_borrow() || !service.try_begin_borrowing() {
             return;
         }
-        let loans = Rc::clone(self);
+        let borrower = Rc::clone(self);
         let service = Rc::downgrade(service);
-        spawn_local(async move { loans.borrow_for(&service).await });
+        spawn_local(async move { borrower.borrow_for(&service).await });
     }
 
     async fn borrow_for(self: Rc<Self>, service: &Weak<Service>) {
@@ -70,33 +70,33 @@
                 service.end_borrowing();
                 return;
             }
-            let asked = BootInstant::now();
-            if let Some((loan, peer, slots)) = self.ask(&service, want).await {
-                // This host may have been taken off the list while it asked.
-                if self.is_possible() {
-                    service.borrow(loan, &slots, asked);
+            let requested_at = BootInstant::now();
+            if let Some((loan, peer, slots)) = self.request_loan(&service, want).await {
+                // This host may have been removed from the membership list during the request.
+                if self.can_borrow() {
+                    service.add_loan(loan, &slots, requested_at);
                 }
-                spawn_local(Rc::clone(&self).give_back(service, loan, peer, slots));
+                spawn_local(Rc::clone(&self).return_loan(service, loan, peer, slots));
             }
-            time::sleep(ASK_PAUSE).await;
+            time::sleep(BORROW_PAUSE).await;
         }
     }
 
-    async fn ask(
+    async fn request_loan(
         &self,
         service: &Service,
         want: u32,
     ) -> Option<(LoanId, SocketAddr, Vec<LentSlots>)> {
         let peer = self.peers.borrow().choose(&mut rand::rng()).copied()?;
-        let question = EntryRequest::Borrow { service: service.name().clone(), want };
-        match self.asks.ask(peer, question).await? {
+        let request = EntryRequest::Borrow { service: service.name().clone(), want };
+        match self.peer_client.call(peer, request).await? {
             EntryReply::Lent { loan, slots } if !slots.is_empty() => Some((loan, peer, slots)),
             _ => None,
         }
     }
 
-    /// Returns a loan once its term is over and no request is left on it.
-    async fn give_back(
+    /// Returns a loan to its lender once it has expired and no request runs on it any more.
+    async fn return_loan(
         self: Rc<Self>,
         service: Rc<Service>,
         loan: LoanId,
@@ -104,11 +104,11 @@
         slots: Vec<LentSlots>,
     ) {
         time::sleep(LOAN_DURATION).await;
-        let limit = BootInstant::now() + self.grace();
-        while service.is_over_limit(&slots) && BootInstant::now() < limit {
-            time::sleep(LOOK_PAUSE).await;
+        let return_deadline = BootInstant::now() + self.loan_grace();
+        while service.is_over_limit(&slots) && BootInstant::now() < return_deadline {
+            time::sleep(RETURN_CHECK_PAUSE).await;
         }
-        // If this is lost, the lender takes them back after the grace.
-        let _ = self.asks.ask(peer, EntryRequest::Return { loan }).await;
+        // If the message is lost, the lender reclaims the slots after the grace period.
+        let _ = self.peer_client.call(peer, EntryRequest::Return { loan }).await;
     }
 }
--- a/reachhead_entry/src/process/status.rs
+++ b/reachhead_entry/src/process/status.rs
@@ -1,4 +1,4 @@
-//! The process as its operators see it, from the ops thread.
+//! Readiness and state of the process, as the ops thread reports them to operators.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -14,65 +14,65 @@
     time,
 };
 
-use crate::process::peer_server::Question;
+use crate::process::peer_server::PathRequest;
 
-/// What is said when the control of this host gives no fresh view.
-pub const NO_VIEW: &str = "no fresh view from the control of this host";
+/// Reason for not being ready while the view from the control process is missing or stale.
+pub const STALE_VIEW: &str = "no fresh view from the control of this host";
 
-/// Longest wait for the path thread's state.
-const STATE_TIME: Duration = Duration::from_secs(2);
+/// Time limit for the path thread to report its state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why the process is not ready, written by the path thread and read by the ops thread.
+/// The readiness of the process, written by the path thread and read by the ops thread.
 #[derive(Clone)]
-pub struct Ready(Arc<Mutex<Reason>>);
+pub struct Readiness(Arc<Mutex<ReadinessState>>);
 
 #[derive(Clone, Copy)]
-struct Reason {
-    text: Option<&'static str>,
-    /// When the view gets too old; nobody may be there to say so then.
+struct ReadinessState {
+    reason: Option<&'static str>,
+    /// When the view becomes stale. The reader checks it, as the path thread may be blocked then.
     fresh_until: Option<BootInstant>,
 }
 
-impl Ready {
-    /// Sets why the process is not ready, `None` if it is, and until when its view is fresh.
-    pub fn set(&self, text: Option<&'static str>, fresh_until: Option<BootInstant>) {
-        let reason = Reason { text, fresh_until };
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = reason;
+impl Readiness {
+    /// Sets the reason for not being ready, `None` if ready, and until when the view is fresh.
+    pub fn set(&self, reason: Option<&'static str>, fresh_until: Option<BootInstant>) {
+        let state = ReadinessState { reason, fresh_until };
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
 
     fn get(&self) -> Option<&'static str> {
-        let reason = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_fresh = reason.fresh_until.is_some_and(|until| BootInstant::now() < until);
-        reason.text.or((!is_fresh).then_some(NO_VIEW))
+        let state = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_fresh = state.fresh_until.is_some_and(|until| BootInstant::now() < until);
+        state.reason.or((!is_fresh).then_some(STALE_VIEW))
     }
 }
 
-/// Answers operators by asking the path thread.
-pub struct EntryObserved {
-    ready: Ready,
-    questions: mpsc::Sender<Question>,
+/// Reports readiness and state to the ops listener.
+pub struct EntryStatus {
+    readiness: Readiness,
+    path_requests: mpsc::Sender<PathRequest>,
 }
 
-impl EntryObserved {
-    /// Returns the two ends: one for the path thread, one for the ops listener.
-    pub fn new(questions: mpsc::Sender<Question>) -> (Ready, Self) {
-        let reason = Reason { text: Some("starting"), fresh_until: None };
-        let ready = Ready(Arc::new(Mutex::new(reason)));
-        (ready.clone(), Self { ready, questions })
+impl EntryStatus {
+    /// Returns the readiness for the path thread to write, and the status for the ops listener.
+    pub fn new(path_requests: mpsc::Sender<PathRequest>) -> (Readiness, Self) {
+        let state = ReadinessState { reason: Some("starting"), fresh_until: None };
+        let readiness = Readiness(Arc::new(Mutex::new(state)));
+        (readiness.clone(), Self { readiness, path_requests })
     }
 }
 
-impl Observed for EntryObserved {
+impl Observed for EntryStatus {
     fn not_ready(&self) -> Option<String> {
-        self.ready.get().map(str::to_owned)
+        self.readiness.get().map(str::to_owned)
     }
 
     fn state(&self) -> BoxFuture<'_, Value> {
         async move {
             let (reply, state) = oneshot::channel();
-            let asked = self.questions.try_send(Question::State { reply });
+            let sent = self.path_requests.try_send(PathRequest::State { reply });
             let state = async { state.await.ok() };
-            match (asked, time::timeout(STATE_TIME, state).await) {
+            match (sent, time::timeout(STATE_TIMEOUT, state).await) {
                 (Ok(()), Ok(Some(state))) => state,
                 _ => json!({ "error": "the path thread does not answer" }),
             }
--- a/reachhead_entry/src/request/dispatch.rs
+++ b/reachhead_entry/src/request/dispatch.rs
@@ -1,4 +1,4 @@
-//! Runs a request: waits for a slot, sends it, and retries where that is safe and worth it.
+//! Dispatches a request: waits for a slot, sends the request, and retries where that is safe.
 
 use std::rc::Rc;
 
@@ -9,90 +9,100 @@
 };
 
 use crate::{
-    process::{proxy::Core, service::Permit},
+    process::{proxy::Proxy, service::Permit},
     request::{
-        Arrived,
+        ReceivedRequest,
         send::{self, SendError, SendResult},
     },
 };
 
-/// Sends in vain to connections that had just closed, beside the counted ones.
-const UNSENT_LIMIT: u32 = 8;
+/// Number of sends that may fail before the first byte, as on idle connections that were just
+/// closed, in addition to the limit on sends.
+const MAX_EXTRA_UNSENT: u32 = 8;
 
-/// Runs a request and returns its answer; one with an `attempt` is sent at most once.
+/// Dispatches a request and returns the response.
+///
+/// A request with an idempotency key has an `attempt` and is sent again only if the previous send
+/// certainly did not run.
 ///
 /// # Errors
 ///
-/// What tells the caller what became of it; `NotSent` also for what was never given to a minion.
-pub async fn run(core: &Rc<Core>, arrived: &Arrived, attempt: Option<AttemptId>) -> SendResult {
-    let ask = arrived.ask();
-    let service = &arrived.route.service;
+/// Returns the error of the last send, or `NotSent` if the request got no slot.
+pub async fn run(
+    proxy: &Rc<Proxy>,
+    received: &ReceivedRequest,
+    attempt: Option<AttemptId>,
+) -> SendResult {
+    let queue_request = received.queue_request();
+    let service = &received.route.service;
     let mut tried: Vec<MinionId> = Vec::new();
     let mut sends = 0;
     loop {
-        let permit = service.acquire(&ask, &tried).await.map_err(SendError::NotSent)?;
+        let permit = service.acquire(&queue_request, &tried).await.map_err(SendError::NotSent)?;
         tried.push(permit.minion.id.clone());
-        let error = match send_once(core, arrived, permit, attempt).await {
-            Ok(answer) => {
-                service.succeed();
-                return Ok(answer);
+        let error = match send_once(proxy, received, permit, attempt).await {
+            Ok(response) => {
+                service.record_success();
+                return Ok(response);
             }
             Err(error) => error,
         };
         sends += 1;
-        if !may_retry(core, arrived, attempt, &error, sends) {
+        if !can_retry(proxy, received, attempt, &error, sends) {
             return Err(error);
         }
     }
 }
 
 async fn send_once(
-    core: &Rc<Core>,
-    arrived: &Arrived,
+    proxy: &Rc<Proxy>,
+    received: &ReceivedRequest,
     permit: Permit,
     attempt: Option<AttemptId>,
 ) -> SendResult {
-    let outgoing = send::prepare(core, arrived, permit).await?;
-    // The last look before the first byte: a process that was paused finds its view too old here.
-    if !core.is_fresh() {
+    let prepared = send::prepare(proxy, received, permit).await?;
+    // The last check before the first byte is sent: after a pause of the process, its view of
+    // configuration and membership may be stale.
+    if !proxy.is_fresh() {
         return Err(SendError::NotSent(ErrorKind::NotReady));
     }
-    if BootInstant::now() >= arrived.deadline {
+    if BootInstant::now() >= received.deadline {
         return Err(SendError::NotSent(ErrorKind::DeadlineInQueue));
     }
     if let Some(attempt) = attempt
-        && !core.attempts.borrow_mut().send(attempt)
+        && !proxy.attempts.borrow_mut().send(attempt)
     {
         return Err(SendError::NotSent(ErrorKind::DeadlineInQueue));
     }
-    let result = outgoing.send(core).await;
+    let result = prepared.send(proxy).await;
     if let (Some(attempt), Err(SendError::NotSent(_))) = (attempt, &result) {
-        core.attempts.borrow_mut().mark_unsent(attempt);
+        proxy.attempts.borrow_mut().mark_unsent(attempt);
     }
     result
 }
 
-fn may_retry(
-    core: &Core,
-    arrived: &Arrived,
+fn can_retry(
+    proxy: &Proxy,
+    received: &ReceivedRequest,
     attempt: Option<AttemptId>,
     error: &SendError,
     sends: u32,
 ) -> bool {
-    if BootInstant::now() >= arrived.deadline {
+    if BootInstant::now() >= received.deadline {
         return false;
     }
-    let limit = core.settings.minions.sends.get();
+    let max_sends = proxy.settings.minions.sends.get();
     match error {
         SendError::NotSent(ErrorKind::NotReady | ErrorKind::DeadlineInQueue) => false,
-        // Provably unsent, so no minion was loaded by it: the budget is for real sends.
-        SendError::NotSent(ErrorKind::ConnectFailed) => sends < limit + UNSENT_LIMIT,
-        SendError::NotSent(_) => sends < limit && arrived.route.service.take_retry(),
-        SendError::Unknown(_) | SendError::Late(_) => {
+        // No byte was sent, so no minion had any load from it; the retry budget limits only
+        // requests that were sent.
+        SendError::NotSent(ErrorKind::ConnectFailed) => sends < max_sends + MAX_EXTRA_UNSENT,
+        SendError::NotSent(_) => sends < max_sends && received.route.service.take_retry(),
+        SendError::OutcomeUnknown(_) | SendError::TimedOut(_) => {
             attempt.is_none()
-                && arrived.is_repeatable()
-                && sends < limit
-                && arrived.route.service.take_retry()
+                && received.is_idempotent()
+                && sends < max_sends
+                && received.route.service.take_retry()
         }
     }
 }
--- a/reachhead_entry/src/request/headers.rs
+++ b/reachhead_entry/src/request/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields on their way: those of one connection stay behind.
+//! Removes hop-by-hop header fields and builds the header fields of requests to minions.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 };
 use reachhead_types::{boot_instant::BootInstant, error::DEADLINE_HEADER};
 
-/// Fields that belong to one connection, by HTTP's rules.
-const CONNECTION_FIELDS: [HeaderName; 8] = [
+/// Header fields that HTTP defines as hop-by-hop.
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -20,19 +20,19 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Takes off the fields that belong to the connection they came on.
-pub fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop fields, including those that the `connection` field lists.
+pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(header::CONNECTION) {
-        for name in named_by_connection(headers) {
+        for name in connection_options(headers) {
             headers.remove(name);
         }
     }
-    for name in &CONNECTION_FIELDS {
+    for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
@@ -41,18 +41,18 @@
         .collect()
 }
 
-/// Returns the fields of a request for a minion, with what is left of its time.
+/// Returns the header fields of a request to a minion, with the time that remains until `deadline`.
 pub fn for_minion(headers: &HeaderMap, deadline: BootInstant) -> HeaderMap {
     let mut headers = headers.clone();
-    strip(&mut headers);
-    // The body is sent whole, so the library writes its length itself.
+    remove_hop_by_hop(&mut headers);
+    // The body is sent from memory, so Hyper sets its length.
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    let left = deadline.left();
-    headers.insert(DEADLINE_HEADER, HeaderValue::from(millis(left)));
+    let remaining = deadline.left();
+    headers.insert(DEADLINE_HEADER, HeaderValue::from(whole_millis(remaining)));
     headers
 }
 
-fn millis(duration: Duration) -> u64 {
+fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/reachhead_entry/src/request/idempotency.rs
+++ b/reachhead_entry/src/request/idempotency.rs
@@ -1,6 +1,6 @@
-//! A request with an idempotency key: claimed in the store, then run at most once.
+//! Runs requests with an idempotency key at most once, by claiming the key in the store.
 //!
-//! docs/AT-MOST-ONCE.md gives the argument; each step here is one of its paragraphs.
+//! docs/AT-MOST-ONCE.md has the safety argument, with one paragraph for each step here.
 
 use std::rc::Rc;
 
@@ -24,201 +24,227 @@
 use tokio::{sync::oneshot, task::spawn_local};
 
 use crate::{
-    process::{claim_writer::ClaimReply, proxy::Core},
+    process::{claim_writer::ClaimResult, proxy::Proxy},
     request::{
-        Arrived, dispatch, response,
-        response_body::ReplyBody,
-        send::{SendError, SendResult, SentAnswer, SentBody},
+        ReceivedRequest, dispatch, response,
+        response_body::ResponseBody,
+        send::{ProxiedBody, ProxiedResponse, SendError, SendResult},
     },
 };
 
-/// Times that a claim is tried against others that come and go.
-const CLAIM_TRIES: u32 = 3;
+/// Number of attempts to write a claim while other claims for the key appear and disappear.
+const MAX_CLAIM_TRIES: u32 = 3;
 
-/// How a request with a key is answered without running it.
-enum Settled {
-    /// With an answer of the system.
+/// The answer to a request with a key that is not run.
+enum EarlyAnswer {
+    /// An error response.
     Error(ErrorKind),
-    /// With the answer that was kept.
+    /// The stored response to an earlier request with the same key.
     Replay(Rc<KeptAnswer>),
 }
 
-/// A claim that this process holds.
-struct Claim {
+/// A claim in the store that belongs to this process.
+struct OwnedClaim {
     key: Key,
     row: ClaimRow,
     revision: Revision,
 }
 
-/// Runs `arrived` at most once under `key`.
+/// Runs a request at most once under its idempotency key and returns the response.
 ///
-/// It goes on when the caller leaves, so that what became of it is recorded all the same.
-pub async fn run(core: &Rc<Core>, arrived: Arrived, key: IdempotencyKey) -> Response<ReplyBody> {
+/// The request continues if the caller disconnects, so that its outcome is recorded in any case.
+pub async fn run_at_most_once(
+    proxy: &Rc<Proxy>,
+    received: ReceivedRequest,
+    key: IdempotencyKey,
+) -> Response<ResponseBody> {
     let store_key =
-        keys::claim(&arrived.route.row.group, &arrived.route.row.service, &digest(&key));
-    let fingerprint = fingerprint(&arrived);
-    let lookup = core.attempts.borrow().look_up(&store_key.0, fingerprint);
+        keys::claim(&received.route.row.group, &received.route.row.service, &key_digest(&key));
+    let fingerprint = fingerprint(&received);
+    let lookup = proxy.attempts.borrow().look_up(&store_key.0, fingerprint);
     match lookup {
-        ClaimLookup::KeyReused => return response::error(core, ErrorKind::KeyReused),
-        ClaimLookup::Existing(attempt) => return settled(core, own_end(attempt)),
+        ClaimLookup::KeyReused => return response::error(proxy, ErrorKind::KeyReused),
+        ClaimLookup::Existing(attempt) => return early_response(proxy, local_answer(attempt)),
         ClaimLookup::New => {}
     }
     let attempt = AttemptId(rand::random());
-    core.attempts.borrow_mut().start(&store_key.0, fingerprint, attempt, BootInstant::now());
+    proxy.attempts.borrow_mut().start(&store_key.0, fingerprint, attempt, BootInstant::now());
     let row = ClaimRow {
         attempt,
         fingerprint,
-        host: core.settings.host.clone(),
-        incarnation: core.incarnation,
-        entry: core.settings.link.ask,
+        host: proxy.settings.host.clone(),
+        incarnation: proxy.incarnation,
+        entry: proxy.settings.link.ask,
         state: ClaimState::Claimed,
     };
     let (reply, response) = oneshot::channel();
-    spawn_local(claim_and_run(Rc::clone(core), arrived, store_key, row, reply));
-    response.await.unwrap_or_else(|_| response::error(core, ErrorKind::KeyOutcomeLost))
+    spawn_local(claim_and_run(Rc::clone(proxy), received, store_key, row, reply));
+    response.await.unwrap_or_else(|_| response::error(proxy, ErrorKind::KeyOutcomeLost))
 }
 
-/// Where the caller waits, if it still does.
-type Caller = oneshot::Sender<Response<ReplyBody>>;
+/// Sends the response to the task that serves the caller, if the caller is still connected.
+type ResponseSender = oneshot::Sender<Response<ResponseBody>>;
 
-async fn claim_and_run(core: Rc<Core>, arrived: Arrived, key: Key, row: ClaimRow, caller: Caller) {
+async fn claim_and_run(
+    proxy: Rc<Proxy>,
+    received: ReceivedRequest,
+    key: Key,
+    row: ClaimRow,
+    caller: ResponseSender,
+) {
     let attempt = row.attempt;
-    match claim(&core, key, row).await {
-        Ok(claim) => run_claimed(&core, arrived, claim, caller).await,
-        Err(end) => {
-            // It was not sent and is now never sent, whatever the store makes of the claim.
-            core.attempts.borrow_mut().abandon(attempt);
-            let _ = caller.send(settled(&core, end));
+    match claim(&proxy, key, row).await {
+        Ok(claim) => run_claimed(&proxy, received, claim, caller).await,
+        Err(answer) => {
+            // The request was not sent and will never be, even if the store still writes the claim.
+            proxy.attempts.borrow_mut().abandon(attempt);
+            let _ = caller.send(early_response(&proxy, answer));
         }
     }
 }
 
-async fn run_claimed(core: &Rc<Core>, arrived: Arrived, claim: Claim, caller: Caller) {
-    let result = dispatch::run(core, &arrived, Some(claim.row.attempt)).await;
-    if let Err(SendError::Late(answer)) = result {
-        let _ = caller.send(response::error(core, ErrorKind::MinionTimeout));
-        record(core, claim, &answer.late().await);
+async fn run_claimed(
+    proxy: &Rc<Proxy>,
+    received: ReceivedRequest,
+    claim: OwnedClaim,
+    caller: ResponseSender,
+) {
+    let result = dispatch::run(proxy, &received, Some(claim.row.attempt)).await;
+    if let Err(SendError::TimedOut(exchange)) = result {
+        let _ = caller.send(response::error(proxy, ErrorKind::MinionTimeout));
+        record_outcome(proxy, claim, &exchange.finish_late().await);
         return;
     }
-    record(core, claim, &result);
+    record_outcome(proxy, claim, &result);
     let _ = caller.send(match result {
-        Ok(answer) => response::answer(&arrived.route, answer),
-        Err(error) => response::error(core, error.kind()),
+        Ok(minion_response) => response::from_minion(&received.route, minion_response),
+        Err(error) => response::error(proxy, error.kind()),
     });
 }
 
-/// Records what became of a claimed request.
-fn record(core: &Core, claim: Claim, result: &SendResult) {
+/// Records the outcome of a claimed request.
+fn record_outcome(proxy: &Proxy, claim: OwnedClaim, result: &SendResult) {
     match result {
-        Ok(answer) => record_answer(core, claim, answer),
+        Ok(response) => record_response(proxy, claim, response),
         Err(SendError::NotSent(_)) => {
-            let mut attempts = core.attempts.borrow_mut();
+            let mut attempts = proxy.attempts.borrow_mut();
             attempts.mark_unsent(claim.row.attempt);
             attempts.abandon(claim.row.attempt);
-            core.claims.record(claim.key, None, claim.revision);
+            proxy.claim_writer.record_outcome(claim.key, None, claim.revision);
         }
-        Err(SendError::Unknown(_) | SendError::Late(_)) => {
-            end(core, claim, AttemptState::Lost, ClaimState::Lost);
+        Err(SendError::OutcomeUnknown(_) | SendError::TimedOut(_)) => {
+            finish_claim(proxy, claim, AttemptState::Lost, ClaimState::Lost);
         }
     }
 }
 
-fn record_answer(core: &Core, claim: Claim, answer: &SentAnswer) {
-    match &answer.body {
-        SentBody::Whole(body) => {
-            let kept = response::keep(&answer.head, body);
-            end(core, claim, AttemptState::Done(Rc::new(kept.clone())), ClaimState::Done(kept));
+fn record_response(proxy: &Proxy, claim: OwnedClaim, response: &ProxiedResponse) {
+    match &response.body {
+        ProxiedBody::Buffered(body) => {
+            let kept = response::to_kept_answer(&response.head, body);
+            finish_claim(
+                proxy,
+                claim,
+                AttemptState::Done(Rc::new(kept.clone())),
+                ClaimState::Done(kept),
+            );
+        }
+        ProxiedBody::Streaming { .. } => {
+            finish_claim(proxy, claim, AttemptState::Unkept, ClaimState::Unkept)
         }
-        SentBody::Streaming { .. } => end(core, claim, AttemptState::Unkept, ClaimState::Unkept),
     }
 }
 
-fn end(core: &Core, claim: Claim, attempt: AttemptState, state: ClaimState) {
-    core.attempts.borrow_mut().finish(claim.row.attempt, attempt);
+fn finish_claim(proxy: &Proxy, claim: OwnedClaim, attempt: AttemptState, state: ClaimState) {
+    proxy.attempts.borrow_mut().finish(claim.row.attempt, attempt);
     let row = ClaimRow { state, ..claim.row };
-    core.claims.record(claim.key, Some(row), claim.revision);
+    proxy.claim_writer.record_outcome(claim.key, Some(row), claim.revision);
 }
 
-/// Claims the key, taking over a claim that its owner has abandoned.
-async fn claim(core: &Core, key: Key, row: ClaimRow) -> Result<Claim, Settled> {
+/// Writes a claim for the key; replaces a claim that its owner has abandoned.
+async fn claim(proxy: &Proxy, key: Key, row: ClaimRow) -> Result<OwnedClaim, EarlyAnswer> {
     let mut expected = None;
-    for _ in 0..CLAIM_TRIES {
-        match core.claims.claim(key.clone(), row.clone(), expected).await {
-            ClaimReply::Stored(revision) => return Ok(Claim { key, row, revision }),
-            ClaimReply::NotStored => return Err(Settled::Error(ErrorKind::StoreDown)),
-            // It went away; the next try finds the place free.
-            ClaimReply::Held { row: None, .. } => expected = None,
-            ClaimReply::Held { row: Some(held), revision } => {
-                meet_held(core, &held, row.fingerprint).await?;
+    for _ in 0..MAX_CLAIM_TRIES {
+        match proxy.claim_writer.claim(key.clone(), row.clone(), expected).await {
+            ClaimResult::Stored(revision) => return Ok(OwnedClaim { key, row, revision }),
+            ClaimResult::NotStored => return Err(EarlyAnswer::Error(ErrorKind::StoreDown)),
+            // The other claim was deleted in the meantime, so the next attempt expects none.
+            ClaimResult::Held { row: None, .. } => expected = None,
+            ClaimResult::Held { row: Some(held), revision } => {
+                check_held_claim(proxy, &held, row.fingerprint).await?;
                 expected = revision;
             }
         }
     }
-    Err(Settled::Error(ErrorKind::KeyInProgress))
+    Err(EarlyAnswer::Error(ErrorKind::KeyInProgress))
 }
 
-/// Returns `Ok` if the held claim may be taken over, because its attempt was and is never sent.
-async fn meet_held(core: &Core, held: &ClaimRow, fingerprint: Fingerprint) -> Result<(), Settled> {
+/// Returns `Ok` if the held claim may be overwritten, since its attempt was and will never be sent.
+async fn check_held_claim(
+    proxy: &Proxy,
+    held: &ClaimRow,
+    fingerprint: Fingerprint,
+) -> Result<(), EarlyAnswer> {
     if held.fingerprint != fingerprint {
-        return Err(Settled::Error(ErrorKind::KeyReused));
+        return Err(EarlyAnswer::Error(ErrorKind::KeyReused));
     }
     match &held.state {
-        ClaimState::Done(kept) => return Err(Settled::Replay(Rc::new(kept.clone()))),
-        ClaimState::Unkept => return Err(Settled::Error(ErrorKind::AnswerNotKept)),
-        ClaimState::Lost => return Err(Settled::Error(ErrorKind::KeyOutcomeLost)),
+        ClaimState::Done(kept) => return Err(EarlyAnswer::Replay(Rc::new(kept.clone()))),
+        ClaimState::Unkept => return Err(EarlyAnswer::Error(ErrorKind::AnswerNotKept)),
+        ClaimState::Lost => return Err(EarlyAnswer::Error(ErrorKind::KeyOutcomeLost)),
         ClaimState::Claimed => {}
     }
-    if held.incarnation == core.incarnation {
-        let state = core.attempts.borrow().state(held.attempt).cloned();
+    if held.incarnation == proxy.incarnation {
+        let state = proxy.attempts.borrow().state(held.attempt).cloned();
         return match state {
             Some(AttemptState::Abandoned) => Ok(()),
-            Some(attempt) => Err(own_end(attempt)),
-            None => Err(Settled::Error(ErrorKind::KeyOutcomeLost)),
+            Some(attempt) => Err(local_answer(attempt)),
+            None => Err(EarlyAnswer::Error(ErrorKind::KeyOutcomeLost)),
         };
     }
-    let question = EntryRequest::Claim { incarnation: held.incarnation, attempt: held.attempt };
-    match core.asks.ask(held.entry, question).await {
+    let request = EntryRequest::Claim { incarnation: held.incarnation, attempt: held.attempt };
+    match proxy.peer_client.call(held.entry, request).await {
         Some(EntryReply::Abandoned) => Ok(()),
-        Some(EntryReply::InProgress) => Err(Settled::Error(ErrorKind::KeyInProgress)),
-        Some(EntryReply::Done(kept)) => Err(Settled::Replay(Rc::new(*kept))),
-        Some(EntryReply::Unkept) => Err(Settled::Error(ErrorKind::AnswerNotKept)),
-        Some(EntryReply::Lost) => Err(Settled::Error(ErrorKind::KeyOutcomeLost)),
+        Some(EntryReply::InProgress) => Err(EarlyAnswer::Error(ErrorKind::KeyInProgress)),
+        Some(EntryReply::Done(kept)) => Err(EarlyAnswer::Replay(Rc::new(*kept))),
+        Some(EntryReply::Unkept) => Err(EarlyAnswer::Error(ErrorKind::AnswerNotKept)),
+        Some(EntryReply::Lost) => Err(EarlyAnswer::Error(ErrorKind::KeyOutcomeLost)),
         Some(EntryReply::Stranger | EntryReply::Lent { .. } | EntryReply::Returned) | None => {
-            Err(Settled::Error(ErrorKind::OwnerUnreachable))
+            Err(EarlyAnswer::Error(ErrorKind::OwnerUnreachable))
         }
     }
 }
 
-/// Returns how a second request is answered while or after this process's own attempt.
-fn own_end(attempt: AttemptState) -> Settled {
+/// Returns the answer to a further request during or after an attempt of this process.
+fn local_answer(attempt: AttemptState) -> EarlyAnswer {
     match attempt {
         AttemptState::Pending | AttemptState::Sent | AttemptState::Abandoned => {
-            Settled::Error(ErrorKind::KeyInProgress)
+            EarlyAnswer::Error(ErrorKind::KeyInProgress)
         }
-        AttemptState::Done(kept) => Settled::Replay(kept),
-        AttemptState::Unkept => Settled::Error(ErrorKind::AnswerNotKept),
-        AttemptState::Lost => Settled::Error(ErrorKind::KeyOutcomeLost),
+        AttemptState::Done(kept) => EarlyAnswer::Replay(kept),
+        AttemptState::Unkept => EarlyAnswer::Error(ErrorKind::AnswerNotKept),
+        AttemptState::Lost => EarlyAnswer::Error(ErrorKind::KeyOutcomeLost),
     }
 }
 
-fn settled(core: &Core, end: Settled) -> Response<ReplyBody> {
-    match end {
-        Settled::Error(kind) => response::error(core, kind),
-        Settled::Replay(kept) => response::replay(core, &kept),
+fn early_response(proxy: &Proxy, answer: EarlyAnswer) -> Response<ResponseBody> {
+    match answer {
+        EarlyAnswer::Error(kind) => response::error(proxy, kind),
+        EarlyAnswer::Replay(kept) => response::replay(proxy, &kept),
     }
 }
 
-/// Returns the key's digest, which keeps store keys short and free of any caller's characters.
-fn digest(key: &IdempotencyKey) -> String {
+/// Returns the digest of the key, which keeps store keys short and free of callers' characters.
+fn key_digest(key: &IdempotencyKey) -> String {
     let digest = Sha256::digest(key.as_str().as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns what the request asks for: method, path, query and body.
-fn fingerprint(arrived: &Arrived) -> Fingerprint {
-    let path = arrived.head.uri.path_and_query().map(|path| path.as_str()).unwrap_or_default();
+/// Returns a digest of method, path, query and body, to detect reuse of a key.
+fn fingerprint(received: &ReceivedRequest) -> Fingerprint {
+    let path = received.head.uri.path_and_query().map(|path| path.as_str()).unwrap_or_default();
     let parts: [&[u8]; 3] =
-        [arrived.head.method.as_str().as_bytes(), path.as_bytes(), arrived.body.as_ref()];
+        [received.head.method.as_str().as_bytes(), path.as_bytes(), received.body.as_ref()];
     let mut hasher = Sha256::new();
     for part in parts {
         hasher.update((part.len() as u64).to_be_bytes());
--- a/reachhead_entry/src/request/mod.rs
+++ b/reachhead_entry/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a request: from its head to the last byte of its answer.
+//! Handles a request, from its head to the last byte of the response.
 
 mod dispatch;
 mod headers;
@@ -26,25 +26,25 @@
 use tokio::time;
 
 use crate::{
-    connection::head_inspector::Watch, process::proxy::Core, request::response_body::ReplyBody,
-    route_table::Route,
+    connection::head_inspector::HeadInspector, process::proxy::Proxy,
+    request::response_body::ResponseBody, route_table::Route,
 };
 
-/// A request that has arrived whole.
-pub struct Arrived {
+/// A request whose head and body were received completely.
+pub struct ReceivedRequest {
     /// Method, path and header fields.
     pub head: Parts,
     /// The body.
     pub body: Bytes,
-    /// Its route; a later version does not change it.
+    /// Its route; a later configuration version does not change it.
     pub route: Rc<Route>,
-    /// When the caller gives up.
+    /// When the caller's time limit ends.
     pub deadline: BootInstant,
 }
 
-impl Arrived {
-    /// Returns what the fair queue needs to know.
-    pub fn ask(&self) -> QueueRequest {
+impl ReceivedRequest {
+    /// Returns the entry for the fair queue.
+    pub fn queue_request(&self) -> QueueRequest {
         QueueRequest {
             group: self.route.row.group.clone(),
             class: self.route.row.class,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Tells whether HTTP lets the request be sent again after it may have run.
-    pub fn is_repeatable(&self) -> bool {
+    /// Returns whether the HTTP method is idempotent, so that the request may run more than once.
+    pub fn is_idempotent(&self) -> bool {
         matches!(
             self.head.method,
             Method::GET | Method::HEAD | Method::OPTIONS | Method::PUT | Method::DELETE
@@ -61,58 +61,58 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request and returns the response.
 pub async fn handle(
-    core: Rc<Core>,
+    proxy: Rc<Proxy>,
     request: Request<Incoming>,
-    watch: &Watch,
-) -> Response<ReplyBody> {
+    inspector: &HeadInspector,
+) -> Response<ResponseBody> {
     let started = BootInstant::now();
-    // A length of `None` is that of a body in chunks: where it ends is the library's secret.
+    // The length is `None` for a chunked body, whose end only Hyper knows.
     let length = request.body().size_hint().exact();
-    let arrived = match watch.is_ambiguous() {
+    let received = match inspector.is_ambiguous() {
         true => Err(ErrorKind::Malformed),
-        false => arrive(&core, request, started).await,
+        false => receive(&proxy, request, started).await,
     };
-    // A body that was not read whole is still to come, and is no head.
-    let is_read = arrived.is_ok() || length == Some(0);
-    let is_clear = watch.next(length) && is_read;
-    if !is_read {
-        watch.note_unread();
+    // If the body was not read completely, its rest follows, not the head of the next request.
+    let is_body_read = received.is_ok() || length == Some(0);
+    let is_next_head_inspected = inspector.next(length) && is_body_read;
+    if !is_body_read {
+        inspector.mark_body_unread();
     }
-    let mut response = match arrived {
-        Ok(arrived) => {
-            let route = Rc::clone(&arrived.route);
-            let response = answer(&core, arrived).await;
+    let mut response = match received {
+        Ok(received) => {
+            let route = Rc::clone(&received.route);
+            let response = handle_received(&proxy, received).await;
             route.metrics.latency.observe(started.elapsed().as_secs_f64());
             response
         }
-        Err(kind) => response::error(&core, kind),
+        Err(kind) => response::error(&proxy, kind),
     };
-    if core.is_stopping() || !is_clear {
-        response::close(&mut response);
+    if proxy.is_stopping() || !is_next_head_inspected {
+        response::close_connection(&mut response);
     }
     response
 }
 
-async fn answer(core: &Rc<Core>, arrived: Arrived) -> Response<ReplyBody> {
-    let key = match key(&arrived) {
+async fn handle_received(proxy: &Rc<Proxy>, received: ReceivedRequest) -> Response<ResponseBody> {
+    let key = match idempotency_key(&received) {
         Ok(key) => key,
-        Err(kind) => return response::error(core, kind),
+        Err(kind) => return response::error(proxy, kind),
     };
     match key {
-        Some(key) => idempotency::run(core, arrived, key).await,
-        None => match dispatch::run(core, &arrived, None).await {
-            Ok(answer) => response::answer(&arrived.route, answer),
-            Err(error) => response::error(core, error.kind()),
+        Some(key) => idempotency::run_at_most_once(proxy, received, key).await,
+        None => match dispatch::run(proxy, &received, None).await {
+            Ok(minion_response) => response::from_minion(&received.route, minion_response),
+            Err(error) => response::error(proxy, error.kind()),
         },
     }
 }
 
-/// Returns the key under which the request runs at most once, if it does.
-fn key(arrived: &Arrived) -> Result<Option<IdempotencyKey>, ErrorKind> {
-    let mut values = arrived.head.headers.get_all(KEY_HEADER).iter();
-    let value = match (arrived.route.row.key, values.next()) {
+/// Returns the idempotency key of the request, if its route uses one.
+fn idempotency_key(received: &ReceivedRequest) -> Result<Option<IdempotencyKey>, ErrorKind> {
+    let mut values = received.head.headers.get_all(KEY_HEADER).iter();
+    let value = match (received.route.row.key, values.next()) {
         (KeyUse::Ignored, _) | (KeyUse::Accepted, None) => return Ok(None),
         (KeyUse::Required, None) => return Err(ErrorKind::KeyMissing),
         (_, Some(value)) => value,
@@ -124,26 +124,26 @@
     text.parse().map(Some).map_err(|_| ErrorKind::Malformed)
 }
 
-/// Reads the request whole and finds its route.
-async fn arrive(
-    core: &Core,
+/// Finds the route of a request and reads the body.
+async fn receive(
+    proxy: &Proxy,
     request: Request<Incoming>,
     started: BootInstant,
-) -> Result<Arrived, ErrorKind> {
+) -> Result<ReceivedRequest, ErrorKind> {
     let (head, body) = request.into_parts();
-    if !core.is_fresh() {
+    if !proxy.is_fresh() {
         return Err(ErrorKind::NotReady);
     }
-    let table = core.table();
-    let route = table.find(head.uri.path()).ok_or(ErrorKind::NoRoute)?;
+    let routes = proxy.routes();
+    let route = routes.find(head.uri.path()).ok_or(ErrorKind::NoRoute)?;
     let route = Rc::clone(route);
-    let deadline = started + deadline(&head, &route)?;
-    let body = read_body(core, body).await?;
-    Ok(Arrived { head, body, route, deadline })
+    let deadline = started + time_limit(&head, &route)?;
+    let body = read_body(proxy, body).await?;
+    Ok(ReceivedRequest { head, body, route, deadline })
 }
 
-/// Returns the time that the request has: the route's deadline, or the caller's if it is shorter.
-fn deadline(head: &Parts, route: &Route) -> Result<Duration, ErrorKind> {
+/// Returns the time limit of the request: the one of the route, or the caller's if it is shorter.
+fn time_limit(head: &Parts, route: &Route) -> Result<Duration, ErrorKind> {
     let limit = route.deadline.duration();
     let Some(value) = head.headers.get(DEADLINE_HEADER) else {
         return Ok(limit);
@@ -153,11 +153,11 @@
     Ok(limit.min(Duration::from_millis(millis)))
 }
 
-async fn read_body(core: &Core, body: Incoming) -> Result<Bytes, ErrorKind> {
+async fn read_body(proxy: &Proxy, body: Incoming) -> Result<Bytes, ErrorKind> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let callers = &core.settings.callers;
+    let callers = &proxy.settings.callers;
     if body.size_hint().lower() > callers.body.0 {
         return Err(ErrorKind::BodyTooLarge);
     }
--- a/reachhead_entry/src/request/response.rs
+++ b/reachhead_entry/src/request/response.rs
@@ -1,4 +1,4 @@
-//! Builds answers to callers; each says what became of the request.
+//! Builds responses to callers; each has a header that states the outcome of the request.
 
 use std::rc::Rc;
 
@@ -15,24 +15,24 @@
 };
 
 use crate::{
-    process::proxy::Core,
+    process::proxy::Proxy,
     request::{
         headers,
-        response_body::{Live, ReplyBody},
-        send::{SentAnswer, SentBody},
+        response_body::{ResponseBody, StreamingBody},
+        send::{ProxiedBody, ProxiedResponse},
     },
     route_table::Route,
 };
 
-/// The field that marks an answer which was kept from an earlier request with the same key.
+/// Header field that marks the replay of a response to an earlier request with the same key.
 const REPLAYED_HEADER: &str = "reachhead-replayed";
 
-/// Returns the answer that belongs to `kind`.
-pub fn error(core: &Core, kind: ErrorKind) -> Response<ReplyBody> {
-    core.metrics.error(kind);
+/// Returns the error response for `kind` and counts the error.
+pub fn error(proxy: &Proxy, kind: ErrorKind) -> Response<ResponseBody> {
+    proxy.metrics.count_error(kind);
     let answer = kind.answer();
     let body = format!("{}: {}\n", kind, answer.outcome);
-    let mut response = Response::new(ReplyBody::whole(Bytes::from(body)));
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from(body)));
     *response.status_mut() =
         StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -42,16 +42,16 @@
     if let Some(seconds) = answer.retry_after {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
     }
-    // What is left of a body that was not read can't be told from the next request.
+    // The unread part of a body can't be distinguished from the next request.
     if matches!(kind, ErrorKind::BodyTooLarge | ErrorKind::TooSlow | ErrorKind::Malformed) {
-        close(&mut response);
+        close_connection(&mut response);
     }
     response
 }
 
-/// Returns the answer to a head that did not arrive in time, for a connection that the library has
-/// given up.
-pub fn too_slow() -> String {
+/// Returns the response to a request whose head timed out, as raw HTTP for a connection that Hyper
+/// no longer serves.
+pub fn head_timeout() -> String {
     let kind = ErrorKind::TooSlow;
     let ErrorAnswer { status, outcome, .. } = kind.answer();
     format!(
@@ -60,33 +60,33 @@
     )
 }
 
-/// Returns a minion's answer as the caller gets it.
-pub fn answer(route: &Rc<Route>, answer: SentAnswer) -> Response<ReplyBody> {
+/// Returns the response of a minion in the form that the caller receives.
+pub fn from_minion(route: &Rc<Route>, minion_response: ProxiedResponse) -> Response<ResponseBody> {
     route.metrics.ran.inc();
-    let SentAnswer { mut head, body } = answer;
-    strip(&mut head);
+    let ProxiedResponse { mut head, body } = minion_response;
+    remove_reserved_headers(&mut head);
     let outcome = HeaderValue::from_static(Outcome::Ran.as_str());
     head.headers.insert(OUTCOME_HEADER, outcome);
     let body = match body {
-        SentBody::Whole(body) => ReplyBody::whole(body),
-        SentBody::Streaming { first, rest, hold } => {
-            ReplyBody::Live(Box::new(Live::new(first, rest, hold)))
+        ProxiedBody::Buffered(body) => ResponseBody::buffered(body),
+        ProxiedBody::Streaming { first, rest, connection } => {
+            ResponseBody::Streaming(Box::new(StreamingBody::new(first, rest, connection)))
         }
     };
     Response::from_parts(head, body)
 }
 
-fn strip(head: &mut Parts) {
-    headers::strip(&mut head.headers);
-    // These are this system's own words; a minion has no say in them.
+fn remove_reserved_headers(head: &mut Parts) {
+    headers::remove_hop_by_hop(&mut head.headers);
+    // Only this system may set these header fields, not a minion.
     head.headers.remove(KIND_HEADER);
     head.headers.remove(REPLAYED_HEADER);
 }
 
-/// Returns an answer in the form that is kept for its key.
-pub fn keep(head: &Parts, body: &Bytes) -> KeptAnswer {
+/// Returns a response in the form that is stored for its idempotency key.
+pub fn to_kept_answer(head: &Parts, body: &Bytes) -> KeptAnswer {
     let mut head = head.clone();
-    strip(&mut head);
+    remove_reserved_headers(&mut head);
     let fields = head.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?.to_owned();
         Some(KeptField { name: name.to_string(), value })
@@ -98,14 +98,14 @@
     }
 }
 
-/// Returns a kept answer, marked as a replay.
-pub fn replay(core: &Core, kept: &KeptAnswer) -> Response<ReplyBody> {
+/// Returns a stored response, marked as a replay.
+pub fn replay(proxy: &Proxy, kept: &KeptAnswer) -> Response<ResponseBody> {
     let (Ok(status), Ok(body)) = (StatusCode::from_u16(kept.status), STANDARD.decode(&kept.body))
     else {
-        return error(core, ErrorKind::AnswerNotKept);
+        return error(proxy, ErrorKind::AnswerNotKept);
     };
-    core.metrics.replays.inc();
-    let mut response = Response::new(ReplyBody::whole(Bytes::from(body)));
+    proxy.metrics.replays.inc();
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from(body)));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     for KeptField { name, value } in &kept.fields {
@@ -118,7 +118,7 @@
     response
 }
 
-/// Closes the connection after this answer.
-pub fn close(response: &mut Response<ReplyBody>) {
+/// Makes Hyper close the connection after this response.
+pub fn close_connection(response: &mut Response<ResponseBody>) {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/reachhead_entry/src/request/response_body.rs
+++ b/reachhead_entry/src/request/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole ones, and live ones that end visibly broken if the minion cuts them.
+//! Response bodies for callers. A streaming body that the minion truncates ends with an error.
 
 use std::{
     io,
@@ -11,39 +11,44 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-use crate::request::send::Hold;
+use crate::request::send::HeldConnection;
 
-/// Longest silence of a minion in the middle of a body.
-const SILENCE_LIMIT: Duration = Duration::from_secs(15);
+/// Limit on the time between two frames of a streaming body.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The body of an answer.
-pub enum ReplyBody {
-    /// All of it.
-    Whole(Option<Bytes>),
-    /// It still arrives.
-    Live(Box<Live>),
+/// The body of a response to a caller.
+pub enum ResponseBody {
+    /// The complete body; `None` if it is empty or already sent.
+    Buffered(Option<Bytes>),
+    /// A body that is still being received from the minion.
+    Streaming(Box<StreamingBody>),
 }
 
-impl ReplyBody {
-    /// Returns a body of `bytes`.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+impl ResponseBody {
+    /// Returns a complete body.
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered((!bytes.is_empty()).then_some(bytes))
     }
 }
 
-/// A body that still arrives, with the slot and the connection that it comes on.
-pub struct Live {
+/// A body that is forwarded while it is received, with its minion connection and slot.
+pub struct StreamingBody {
     first: Option<Bytes>,
     rest: Incoming,
-    hold: Option<Hold>,
-    silence: Pin<Box<Sleep>>,
+    connection: Option<HeldConnection>,
+    idle_timer: Pin<Box<Sleep>>,
 }
 
-impl Live {
-    /// Returns the body that starts with `first`.
-    pub fn new(first: Bytes, rest: Incoming, hold: Hold) -> Self {
-        let silence = Box::pin(sleep_until(Instant::now() + SILENCE_LIMIT));
-        Self { first: (!first.is_empty()).then_some(first), rest, hold: Some(hold), silence }
+impl StreamingBody {
+    /// Returns a body of the bytes in `first`, followed by `rest` from `connection`.
+    pub fn new(first: Bytes, rest: Incoming, connection: HeldConnection) -> Self {
+        let idle_timer = Box::pin(sleep_until(Instant::now() + BODY_IDLE_TIMEOUT));
+        Self {
+            first: (!first.is_empty()).then_some(first),
+            rest,
+            connection: Some(connection),
+            idle_timer,
+        }
     }
 
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
@@ -51,19 +56,19 @@
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
         let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(context) else {
-            ready!(self.silence.as_mut().poll(context));
+            ready!(self.idle_timer.as_mut().poll(context));
             return Poll::Ready(Some(Err(io::Error::from(io::ErrorKind::TimedOut))));
         };
         match frame {
-            // An error here makes the library abort the caller's connection, so that a cut body
-            // never looks whole.
+            // An error makes Hyper abort the caller's connection, so that a truncated body never
+            // looks complete.
             Some(frame) => {
-                self.silence.as_mut().reset(Instant::now() + SILENCE_LIMIT);
+                self.idle_timer.as_mut().reset(Instant::now() + BODY_IDLE_TIMEOUT);
                 Poll::Ready(Some(frame.map_err(io::Error::other)))
             }
             None => {
-                if let Some(hold) = self.hold.take() {
-                    hold.finish();
+                if let Some(connection) = self.connection.take() {
+                    connection.release();
                 }
                 Poll::Ready(None)
             }
@@ -71,7 +76,7 @@
     }
 }
 
-impl Body for ReplyBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -80,26 +85,26 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Live(live) => live.poll(context),
+            Self::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Streaming(body) => body.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_none(),
-            Self::Live(live) => live.first.is_none() && live.rest.is_end_stream(),
+            Self::Buffered(bytes) => bytes.is_none(),
+            Self::Streaming(body) => body.first.is_none() && body.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Live(live) => {
-                let first = live.first.as_ref().map_or(0, |first| first.len() as u64);
-                match live.rest.size_hint().exact() {
+            Self::Streaming(body) => {
+                let first = body.first.as_ref().map_or(0, |first| first.len() as u64);
+                match body.rest.size_hint().exact() {
                     Some(rest) => SizeHint::with_exact(first + rest),
                     None => SizeHint::default(),
                 }
--- a/reachhead_entry/src/request/send.rs
+++ b/reachhead_entry/src/request/send.rs
@@ -1,7 +1,8 @@
-//! One send of a request to one minion.
+//! Sends a request to a minion once.
 //!
-//! When the caller gives up, the exchange goes on in a task of its own: the slot stays taken until
-//! the minion is done with the request or its time is over, so the minion's limit still holds.
+//! If the caller disconnects or its deadline passes, the exchange continues in a background task.
+//! Its slot stays occupied until the minion has responded or twice the caller's time has passed, so
+//! the concurrency limit of the minion is not exceeded.
 
 use std::{
     future::Future,
@@ -18,179 +19,181 @@
 use tokio::{task::spawn_local, time};
 
 use crate::{
-    connection::minion_client::{self, Answer, AnswerBody, ExchangeError, Sender},
-    process::{proxy::Core, service::Permit},
-    request::{Arrived, headers},
+    connection::minion_client::{self, ExchangeError, MinionBody, MinionResponse, Sender},
+    process::{proxy::Proxy, service::Permit},
+    request::{ReceivedRequest, headers},
 };
 
-/// A minion that is silent for less than this is not blamed: the caller's time was short.
-const BLAME_TIME: Duration = Duration::from_millis(500);
+/// Time that a minion must have had before a timeout counts as its failure. A shorter timeout is
+/// due to the caller's deadline.
+const MIN_FAILURE_WAIT: Duration = Duration::from_millis(500);
 
-/// A minion's answer to a request.
-pub struct SentAnswer {
+/// The response of a minion that is forwarded to the caller.
+pub struct ProxiedResponse {
     /// Status and header fields.
     pub head: Parts,
     /// The body.
-    pub body: SentBody,
+    pub body: ProxiedBody,
 }
 
-/// The body of an answer.
-pub enum SentBody {
-    /// All of it.
-    Whole(Bytes),
-    /// The first part, and the rest as it comes.
+/// The body of a forwarded response.
+pub enum ProxiedBody {
+    /// The complete body.
+    Buffered(Bytes),
+    /// A body that is too large to buffer and is still being received.
     Streaming {
-        /// What has arrived.
+        /// The bytes received so far.
         first: Bytes,
-        /// What has not.
+        /// The remaining body.
         rest: Incoming,
-        /// What the rest comes on.
-        hold: Hold,
+        /// The connection and the slot that the remaining body occupies.
+        connection: HeldConnection,
     },
 }
 
-/// The slot and the connection of an answer that still arrives.
-pub struct Hold {
+/// The connection and the slot that a streaming response occupies.
+pub struct HeldConnection {
     permit: Permit,
     sender: Sender,
 }
 
-impl Hold {
-    /// Gives slot and connection back after the last byte.
-    pub fn finish(self) {
+impl HeldConnection {
+    /// Frees the slot and returns the connection to the pool, after the last byte of the body.
+    pub fn release(self) {
         self.permit.minion.put_idle(self.sender);
     }
 }
 
-/// How a send ends.
-pub type SendResult = Result<SentAnswer, SendError>;
+/// The result of a send.
+pub type SendResult = Result<ProxiedResponse, SendError>;
 
-/// Why a send gave no answer.
+/// Why a send returned no response.
 pub enum SendError {
-    /// The minion did not get it; another one may.
+    /// The request did not run and may be sent to another minion.
     NotSent(ErrorKind),
-    /// The minion may have run it.
-    Unknown(ErrorKind),
-    /// The deadline passed; the answer may still come here.
-    Late(Exchange),
+    /// The minion may have run the request.
+    OutcomeUnknown(ErrorKind),
+    /// The deadline passed; the exchange may still complete with a response.
+    TimedOut(Exchange),
 }
 
 impl SendError {
-    /// Returns what the caller is told.
+    /// Returns the error kind that the caller receives.
     pub fn kind(&self) -> ErrorKind {
         match self {
-            Self::NotSent(kind) | Self::Unknown(kind) => *kind,
-            Self::Late(_) => ErrorKind::MinionTimeout,
+            Self::NotSent(kind) | Self::OutcomeUnknown(kind) => *kind,
+            Self::TimedOut(_) => ErrorKind::MinionTimeout,
         }
     }
 }
 
-/// A send that is ready to go, with its connection.
-pub struct Outgoing {
+/// A request that is ready to be sent, with its connection and its slot.
+pub struct PreparedSend {
     permit: Permit,
     sender: Sender,
     request: Request<Full<Bytes>>,
     deadline: BootInstant,
-    whole: usize,
+    buffer_limit: usize,
 }
 
-/// Connects to the permit's minion; nothing is sent yet.
+/// Takes an idle connection to the minion of `permit` or opens one; sends nothing yet.
 ///
 /// # Errors
 ///
-/// `NotSent` if there is no connection in time.
+/// Returns `NotSent` if no connection is established within the time limit.
 pub async fn prepare(
-    core: &Core,
-    arrived: &Arrived,
+    proxy: &Proxy,
+    received: &ReceivedRequest,
     permit: Permit,
-) -> Result<Outgoing, SendError> {
-    let minions = &core.settings.minions;
+) -> Result<PreparedSend, SendError> {
+    let minions = &proxy.settings.minions;
     let sender = match permit.minion.take_idle(minions.idle_time.duration()) {
         Some(sender) => sender,
         None => {
-            let left = arrived.deadline.left();
-            let limit = Duration::from_millis(minions.connect_time.get()).min(left);
-            match minion_client::connect(permit.minion.row.address, limit).await {
+            let remaining = received.deadline.left();
+            let connect_timeout = Duration::from_millis(minions.connect_time.get()).min(remaining);
+            match minion_client::connect(permit.minion.row.address, connect_timeout).await {
                 Some(sender) => sender,
                 None => {
-                    permit.minion.fail();
+                    permit.minion.record_failure();
                     return Err(SendError::NotSent(ErrorKind::ConnectFailed));
                 }
             }
         }
     };
-    let request = request(arrived);
-    let whole = minions.whole.0 as usize;
-    Ok(Outgoing { permit, sender, request, deadline: arrived.deadline, whole })
+    let request = minion_request(received);
+    let buffer_limit = minions.whole.0 as usize;
+    Ok(PreparedSend { permit, sender, request, deadline: received.deadline, buffer_limit })
 }
 
-fn request(arrived: &Arrived) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(arrived.body.clone()));
-    *request.method_mut() = arrived.head.method.clone();
-    // An absolute URI stays behind: the minion is asked for the path alone.
-    if let Some(path) = arrived.head.uri.path_and_query() {
+fn minion_request(received: &ReceivedRequest) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(received.body.clone()));
+    *request.method_mut() = received.head.method.clone();
+    // An absolute URI is reduced to path and query, since minions are origin servers.
+    if let Some(path) = received.head.uri.path_and_query() {
         *request.uri_mut() = path.clone().into();
     }
     *request.version_mut() = Version::HTTP_11;
-    *request.headers_mut() = headers::for_minion(&arrived.head.headers, arrived.deadline);
+    *request.headers_mut() = headers::for_minion(&received.head.headers, received.deadline);
     request
 }
 
-impl Outgoing {
-    /// Sends the request and waits for the answer, until the deadline.
+impl PreparedSend {
+    /// Sends the request and waits for the response until the deadline.
     ///
     /// # Errors
     ///
-    /// `Unknown` once a byte was handed to the connection, unless the minion refused by contract.
-    pub async fn send(self, core: &Rc<Core>) -> SendResult {
-        core.metrics.sends.inc();
+    /// Returns `NotSent` if no byte was passed to the connection or the minion declared that it did
+    /// not run the request, `TimedOut` at the deadline, and `OutcomeUnknown` otherwise.
+    pub async fn send(self, proxy: &Rc<Proxy>) -> SendResult {
+        proxy.metrics.sends.inc();
         let started = BootInstant::now();
         let deadline = self.deadline;
         let minion = Rc::clone(&self.permit.minion);
-        // Twice the time that the caller gave: then the connection is cut and the slot given back.
-        let limit = deadline + deadline.duration_since(started);
-        let mut exchange = Exchange::new(Box::pin(self.run()), limit);
+        // After twice the caller's time, the connection is closed and the slot is freed.
+        let slot_deadline = deadline + deadline.duration_since(started);
+        let mut exchange = Exchange::new(Box::pin(self.exchange()), slot_deadline);
         match time::timeout(deadline.left(), &mut exchange).await {
             Ok(result) => result,
             Err(_) => {
-                if started.elapsed() >= BLAME_TIME {
-                    minion.fail();
+                if started.elapsed() >= MIN_FAILURE_WAIT {
+                    minion.record_failure();
                 }
-                Err(SendError::Late(exchange))
+                Err(SendError::TimedOut(exchange))
             }
         }
     }
 
-    async fn run(self) -> SendResult {
-        let Self { permit, mut sender, request, whole, .. } = self;
-        let result = minion_client::exchange(&mut sender, request, whole).await;
-        settle(result, permit, sender)
+    async fn exchange(self) -> SendResult {
+        let Self { permit, mut sender, request, buffer_limit, .. } = self;
+        let result = minion_client::exchange(&mut sender, request, buffer_limit).await;
+        process_result(result, permit, sender)
     }
 }
 
-type Running = Pin<Box<dyn Future<Output = SendResult>>>;
+type ExchangeFuture = Pin<Box<dyn Future<Output = SendResult>>>;
 
-/// An exchange under way; dropped before its end, it goes on in a task of its own.
+/// A request in flight. If it is dropped before it completes, it continues in a background task.
 pub struct Exchange {
-    running: Option<Running>,
-    limit: BootInstant,
-    /// Whether it has a task of its own, which ends it when the process ends.
+    running: Option<ExchangeFuture>,
+    slot_deadline: BootInstant,
+    /// Whether it already runs in a background task, which drops it only when the process ends.
     is_detached: bool,
 }
 
 impl Exchange {
-    fn new(running: Running, limit: BootInstant) -> Self {
-        Self { running: Some(running), limit, is_detached: false }
+    fn new(running: ExchangeFuture, slot_deadline: BootInstant) -> Self {
+        Self { running: Some(running), slot_deadline, is_detached: false }
     }
 
-    /// Waits for the end as long as the slot is kept for it.
-    pub async fn late(mut self) -> SendResult {
-        let left = self.limit.left();
-        let result = time::timeout(left, &mut self).await;
+    /// Waits for the result until the deadline of the slot.
+    pub async fn finish_late(mut self) -> SendResult {
+        let remaining = self.slot_deadline.left();
+        let result = time::timeout(remaining, &mut self).await;
         if result.is_err() {
             self.running = None;
         }
-        result.unwrap_or(Err(SendError::Unknown(ErrorKind::MinionTimeout)))
+        result.unwrap_or(Err(SendError::OutcomeUnknown(ErrorKind::MinionTimeout)))
     }
 }
 
@@ -199,7 +202,7 @@
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<SendResult> {
         let Some(running) = &mut self.running else {
-            return Poll::Ready(Err(SendError::Unknown(ErrorKind::MinionBroke)));
+            return Poll::Ready(Err(SendError::OutcomeUnknown(ErrorKind::MinionBroke)));
         };
         let result = ready!(running.as_mut().poll(context));
         self.running = None;
@@ -213,41 +216,51 @@
             return;
         }
         if let Some(running) = self.running.take() {
-            let rest = Self { running: Some(running), limit: self.limit, is_detached: true };
-            spawn_local(rest.late());
+            let detached = Self {
+                running: Some(running),
+                slot_deadline: self.slot_deadline,
+                is_detached: true,
+            };
+            spawn_local(detached.finish_late());
         }
     }
 }
 
-/// Notes what the exchange says of the minion, and keeps the connection if it may be used again.
-fn settle(result: Result<Answer, ExchangeError>, permit: Permit, sender: Sender) -> SendResult {
+/// Records the result for the ejection of the minion and keeps the connection if it is reusable.
+fn process_result(
+    result: Result<MinionResponse, ExchangeError>,
+    permit: Permit,
+    sender: Sender,
+) -> SendResult {
     let minion = &permit.minion;
     match result {
-        Ok(Answer { head, body }) => {
-            minion.succeed();
-            if minion_client::says_close(&head.headers) {
-                minion.note_leaving();
+        Ok(MinionResponse { head, body }) => {
+            minion.record_success();
+            if minion_client::announces_close(&head.headers) {
+                minion.mark_leaving();
             }
             let body = match body {
-                AnswerBody::Whole(body) => {
+                MinionBody::Buffered(body) => {
                     minion.put_idle(sender);
-                    SentBody::Whole(body)
-                }
-                AnswerBody::Streaming { first, rest } => {
-                    SentBody::Streaming { first, rest, hold: Hold { permit, sender } }
+                    ProxiedBody::Buffered(body)
                 }
+                MinionBody::Streaming { first, rest } => ProxiedBody::Streaming {
+                    first,
+                    rest,
+                    connection: HeldConnection { permit, sender },
+                },
             };
-            Ok(SentAnswer { head, body })
+            Ok(ProxiedResponse { head, body })
         }
         Err(ExchangeError::Unsent) => Err(SendError::NotSent(ErrorKind::ConnectFailed)),
         Err(ExchangeError::Refused) => Err(SendError::NotSent(ErrorKind::MinionRefused)),
-        Err(ExchangeError::Broke) => {
-            minion.fail();
-            Err(SendError::Unknown(ErrorKind::MinionBroke))
+        Err(ExchangeError::ConnectionLost) => {
+            minion.record_failure();
+            Err(SendError::OutcomeUnknown(ErrorKind::MinionBroke))
         }
-        Err(ExchangeError::BadAnswer) => {
-            minion.fail();
-            Err(SendError::Unknown(ErrorKind::BadAnswer))
+        Err(ExchangeError::InvalidResponse) => {
+            minion.record_failure();
+            Err(SendError::OutcomeUnknown(ErrorKind::BadAnswer))
         }
     }
 }
--- a/reachhead_entry/src/route_table.rs
+++ b/reachhead_entry/src/route_table.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a configuration version: the routes.
+//! The routes of a configuration version.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -12,27 +12,27 @@
     service::{Service, Services},
 };
 
-/// A route with everything that a request on it needs.
+/// A route with its service and its metrics, looked up once per configuration version.
 pub struct Route {
-    /// The route's row.
+    /// The configuration row of the route.
     pub row: RouteRow,
-    /// The deadline in force: the route's own, or its group's.
+    /// The time limit of a request: the route's own, or else the one of its group.
     pub deadline: Millis,
-    /// The service that answers.
+    /// The service to which requests are dispatched.
     pub service: Rc<Service>,
-    /// The route's counters.
+    /// The metrics of the route.
     pub metrics: RouteMetrics,
 }
 
-/// The routes of one version.
+/// The routes of one configuration version by path prefix.
 #[derive(Default)]
-pub struct Table {
+pub struct RouteTable {
     version: Version,
     routes: HashMap<String, Rc<Route>>,
 }
 
-impl Table {
-    /// Builds the routes of `fleet` over the live `services`.
+impl RouteTable {
+    /// Builds the routes of `fleet` on the running `services`.
     pub fn new(fleet: &Fleet, services: &Services, metrics: &Metrics) -> Self {
         let routes = fleet.routes.iter().filter_map(|(name, row)| {
             let service = services.get(&row.service)?;
@@ -48,12 +48,12 @@
         Self { version: fleet.version, routes: routes.collect() }
     }
 
-    /// Returns the version that the routes belong to.
+    /// Returns the configuration version of the routes.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the route with the longest prefix of whole segments of `path`.
+    /// Returns the route with the longest path prefix that consists of whole segments of `path`.
     pub fn find(&self, path: &str) -> Option<&Rc<Route>> {
         let mut prefix = path;
         while !prefix.is_empty() {
