--- a/reachhead_entry/src/process/claim_writer.rs
+++ b/reachhead_entry/src/process/claim_writer.rs
@@ -22,14 +22,14 @@
 };
 
 /// How long outcomes wait for a claim, to share its transaction.
-const MAX_RECORD_DELAY: Duration = Duration::from_millis(100);
+const MAX_OUTCOME_DELAY: Duration = Duration::from_millis(100);
 
 /// Number of times that a batch is sent; after a conflict, it is sent without the rows in conflict.
 const MAX_COMMIT_TRIES: u32 = 4;
 
 /// Number of times that the write of an outcome is tried. If all fail, other hosts can still query
 /// this process.
-const MAX_RECORD_TRIES: u32 = 5;
+const MAX_OUTCOME_TRIES: u32 = 5;
 
 /// The result of writing a claim.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 
 enum WriteJob {
     Claim(ClaimWrite),
-    Record(OutcomeWrite),
+    Outcome(OutcomeWrite),
     Flush(oneshot::Sender<()>),
 }
 
@@ -88,10 +88,13 @@
     /// Queues the final state of a claim, or its deletion, without waiting for the write.
     pub fn record_outcome(&self, key: Key, row: Option<ClaimRow>, revision: Revision) {
         // If the queue is full, the outcome is not stored, but other hosts can query this process.
-        let _ = self.jobs.try_send(WriteJob::Record(OutcomeWrite { key, row, revision, tries: 0 }));
+        let _ =
+            self.jobs.try_send(WriteJob::Outcome(OutcomeWrite { key, row, revision, tries: 0 }));
     }
 
-    /// Waits until all queued jobs are written or have failed.
+    /// Waits until the batch of the jobs queued so far was sent to the store.
+    ///
+    /// Outcomes that failed in it, and jobs that were deferred, may still be pending.
     pub async fn flush(&self) {
         let (reply, done) = oneshot::channel();
         if self.jobs.send(WriteJob::Flush(reply)).await.is_ok() {
@@ -132,7 +135,7 @@
 #[derive(Default)]
 struct Batch {
     claims: Vec<ClaimWrite>,
-    records: Vec<OutcomeWrite>,
+    outcomes: Vec<OutcomeWrite>,
     flushes: Vec<oneshot::Sender<()>>,
     /// Jobs for rows that this batch already writes; they are moved to the next batch.
     deferred: Vec<WriteJob>,
@@ -141,13 +144,13 @@
 
 impl Batch {
     fn len(&self) -> usize {
-        self.claims.len() + self.records.len()
+        self.claims.len() + self.outcomes.len()
     }
 
     fn add(&mut self, job: WriteJob) {
         let key = match &job {
             WriteJob::Claim(claim) => &claim.key,
-            WriteJob::Record(record) => &record.key,
+            WriteJob::Outcome(outcome) => &outcome.key,
             WriteJob::Flush(_) => {
                 if let WriteJob::Flush(reply) = job {
                     self.flushes.push(reply);
@@ -161,7 +164,7 @@
         }
         match job {
             WriteJob::Claim(claim) => self.claims.push(claim),
-            WriteJob::Record(record) => self.records.push(record),
+            WriteJob::Outcome(outcome) => self.outcomes.push(outcome),
             WriteJob::Flush(_) => {}
         }
     }
@@ -175,14 +178,14 @@
                 .with_check(claim.key.clone(), claim.expected)
                 .with_write(claim.key.clone(), value);
         }
-        for record in &self.records {
-            txn = txn.with_check(record.key.clone(), Some(record.revision));
-            txn = match &record.row {
+        for outcome in &self.outcomes {
+            txn = txn.with_check(outcome.key.clone(), Some(outcome.revision));
+            txn = match &outcome.row {
                 Some(row) => {
                     let value = serde_json::to_value(row).unwrap_or_default();
-                    txn.with_write(record.key.clone(), value)
+                    txn.with_write(outcome.key.clone(), value)
                 }
-                None => txn.with_delete(record.key.clone()),
+                None => txn.with_delete(outcome.key.clone()),
             };
         }
         txn
@@ -192,7 +195,7 @@
     fn resolve_conflicts(&mut self, conflicts: &[Conflict]) {
         let find = |key: &Key| conflicts.iter().find(|conflict| conflict.key == *key);
         // A conflict means that the outcome was already written or its claim was replaced.
-        self.records.retain(|record| find(&record.key).is_none());
+        self.outcomes.retain(|outcome| find(&outcome.key).is_none());
         for claim in std::mem::take(&mut self.claims) {
             match find(&claim.key) {
                 None => self.claims.push(claim),
@@ -205,7 +208,7 @@
     }
 
     fn answer_stored(&mut self, revision: Revision) {
-        self.records.clear();
+        self.outcomes.clear();
         for claim in self.claims.drain(..) {
             let _ = claim.reply.send(ClaimResult::Stored(revision));
         }
@@ -281,7 +284,7 @@
             return started;
         }
         match (self.batch.claims.is_empty(), self.last) {
-            (true, _) => started + MAX_RECORD_DELAY,
+            (true, _) => started + MAX_OUTCOME_DELAY,
             (false, Some(last)) => last + self.commit_interval,
             (false, None) => started,
         }
@@ -324,10 +327,10 @@
         for flush in finished.flushes {
             let _ = flush.send(());
         }
-        for mut record in finished.records {
-            record.tries += 1;
-            if record.tries < MAX_RECORD_TRIES {
-                self.batch.add(WriteJob::Record(record));
+        for mut outcome in finished.outcomes {
+            outcome.tries += 1;
+            if outcome.tries < MAX_OUTCOME_TRIES {
+                self.batch.add(WriteJob::Outcome(outcome));
             }
         }
         for job in finished.deferred {
--- a/reachhead_entry/src/process/minion.rs
+++ b/reachhead_entry/src/process/minion.rs
@@ -37,7 +37,7 @@
     pub id: MinionId,
     /// The service.
     pub service: ServiceName,
-    /// Its configuration row at creation; a change of the address creates a new `Minion`.
+    /// Its configuration row at creation; a change of address, zone or host creates a new `Minion`.
     pub row: MinionRow,
     is_local: bool,
     /// The slots that the slot shares assign to this host.
