--- a/reachhead/src/command/host.rs
+++ b/reachhead/src/command/host.rs
@@ -113,7 +113,7 @@
             id.to_string(),
             row.pool.to_string(),
             row.phase.to_string(),
-            row.want.as_ref().map_or(NOTHING.to_owned(), ToString::to_string),
+            row.target_pool.as_ref().map_or(NOTHING.to_owned(), ToString::to_string),
             row.zone.to_string(),
             row.rack.to_string(),
             row.resources.cores.to_string(),
@@ -137,9 +137,9 @@
     let mut row: HostRow = client.post(&format!("/v1/hosts/{}/want", args.host), &want).await?;
     let limit = Instant::now() + Duration::from_secs(args.wait);
     loop {
-        let to = row.want.as_ref().map(|to| format!(", to {to}")).unwrap_or_default();
+        let to = row.target_pool.as_ref().map(|to| format!(", to {to}")).unwrap_or_default();
         print::line(&format!("{}: {} in {}{to}", args.host, row.phase, row.pool));
-        let is_done = row.phase == HostPhase::Serving && row.want.is_none();
+        let is_done = row.phase == HostPhase::Serving && row.target_pool.is_none();
         if is_done || args.wait == 0 {
             return Ok(());
         }
--- a/reachhead_admin/src/api/change.rs
+++ b/reachhead_admin/src/api/change.rs
@@ -106,7 +106,7 @@
         if version.0 % CUT_PERIOD != 0 {
             return;
         }
-        if let Err(error) = history::cut(&*self.store, version, self.keep).await {
+        if let Err(error) = history::truncate_log(&*self.store, version, self.keep).await {
             debug!("cutting the log: {error}");
         }
     }
@@ -116,7 +116,7 @@
         emit(Event::ChangeRefused, format_args!("{}: {text}", request.id));
         let problem = Problem { error: text, nothing_changed: true, ..Problem::default() };
         let (result, status, problem) = match error {
-            ChangeError::Faulty(faults) => {
+            ChangeError::Invalid(faults) => {
                 ("faulty", StatusCode::UNPROCESSABLE_ENTITY, Problem { faults, ..problem })
             }
             ChangeError::Raced(raced) => {
--- a/reachhead_admin/src/api/hosts.rs
+++ b/reachhead_admin/src/api/hosts.rs
@@ -131,7 +131,7 @@
         if pool.as_ref().is_some_and(|pool| !reader.covers_pool(pool)) {
             return Ok(api::forbidden());
         }
-        let row = hosts::want(&*self.store, &id, pool.as_ref()).await?;
+        let row = hosts::request_move(&*self.store, &id, pool.as_ref()).await?;
         Ok(http::json(StatusCode::OK, &row))
     }
 
--- a/reachhead_admin/src/api/read.rs
+++ b/reachhead_admin/src/api/read.rs
@@ -56,7 +56,9 @@
     let prefix = api::parameter(query, "prefix").unwrap_or_default();
     let rows: Vec<RowReport<'_>> = snapshot
         .rows()
-        .filter(|(key, _)| key.to_string().starts_with(prefix) && caller.scope.reads(&fleet, key))
+        .filter(|(key, _)| {
+            key.to_string().starts_with(prefix) && caller.scope.can_read(&fleet, key)
+        })
         .map(|(key, value)| RowReport { key, value, version: snapshot.row_version(key) })
         .collect();
     http::json(StatusCode::OK, &rows)
@@ -111,7 +113,7 @@
             return api::problem(StatusCode::BAD_REQUEST, "key must name a row");
         };
         let after = api::version_parameter(query, "after", Version(0));
-        match history::row(&*self.store, &key, after).await {
+        match history::row_history(&*self.store, &key, after).await {
             Ok(mut events) => {
                 events.retain(|event| reader.covers(&event.reader));
                 http::json(StatusCode::OK, &events)
--- a/reachhead_admin/src/api/waves.rs
+++ b/reachhead_admin/src/api/waves.rs
@@ -175,7 +175,7 @@
         let statuses = self.platform.status(ids).await?;
         let report = |(host, status): (Host, Option<HostStatus>)| HostReport {
             phase: host.row.phase,
-            is_done: host.row.done.as_ref() == Some(&wave.name),
+            is_done: host.row.last_wave.as_ref() == Some(&wave.name),
             hold: context.hold(&host, &wave, status.as_ref()),
             host: host.id,
         };
--- a/reachhead_admin/src/status.rs
+++ b/reachhead_admin/src/status.rs
@@ -63,7 +63,7 @@
         thread::Builder::new().name("asks".to_owned()).spawn(move || {
             let mut client = LinkClient::new(ASK_TIME);
             while let Some(Job { address, reply }) = ring.blocking_recv() {
-                let _ = reply.send(client.ask(address, &ControlRequest::Status).ok());
+                let _ = reply.send(client.request(address, &ControlRequest::Status).ok());
             }
         })?;
         Ok(Self { jobs })
--- a/reachhead_control/src/answer.rs
+++ b/reachhead_control/src/answer.rs
@@ -51,7 +51,7 @@
             delta: self.view.since(have),
             list: self.view.members_since(list),
             leaving: self.view.leaving_since(hosts),
-            is_blind: self.view.is_blind(),
+            is_cut_off: self.view.is_blind(),
             age: self.view.list_age().map(millis),
         }))
     }
--- a/reachhead_control/src/follow.rs
+++ b/reachhead_control/src/follow.rs
@@ -127,7 +127,7 @@
         let fetched = config::fetch(&*self.store, self.view.version()).await;
         self.note(match fetched {
             Ok(None) => Ok(()),
-            Ok(Some(ConfigUpdate::Whole(snapshot))) => {
+            Ok(Some(ConfigUpdate::Snapshot(snapshot))) => {
                 self.view.adopt(snapshot);
                 Ok(())
             }
--- a/reachhead_control/src/gossip.rs
+++ b/reachhead_control/src/gossip.rs
@@ -65,7 +65,7 @@
                 hosts: self.view.hosts_revision(),
             };
             let asked = BootInstant::now();
-            match self.client.ask(peer, &request) {
+            match self.client.request(peer, &request) {
                 Ok(ControlReply::Gossip(reply)) => {
                     self.silent.remove(&peer);
                     self.learn(peer, *reply, asked);
@@ -92,7 +92,7 @@
 
     fn learn(&self, peer: SocketAddr, reply: GossipReply, asked: BootInstant) {
         let age = reply.age.map(Millis::duration);
-        let witness = Witness { is_blind: reply.is_blind, age };
+        let witness = Witness { is_blind: reply.is_cut_off, age };
         self.view.learn_list(reply.list, witness, asked);
         if let Some(leaving) = reply.leaving {
             self.view.adopt_leaving(leaving);
--- a/reachhead_control/src/timeouts.rs
+++ b/reachhead_control/src/timeouts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reachhead_config::control::ControlSettings;
-use reachhead_store::breaker::LAST_PAUSE;
+use reachhead_store::breaker::MAX_PROBE_PAUSE;
 
 /// Share of the period between two reads by which jitter and late starts can lengthen it.
 const NOTICE_PERIODS: f64 = 1.25;
@@ -46,7 +46,7 @@
     /// Returns the silence after which one of `hosts` hosts is taken for gone.
     pub fn silence(&self, hosts: usize) -> Duration {
         // After an outage a host may find out late that the store is back.
-        self.member_period(hosts) * self.missed + LAST_PAUSE + self.store_deadline
+        self.member_period(hosts) * self.missed + MAX_PROBE_PAUSE + self.store_deadline
     }
 
     /// Returns the silence after which one of `hosts` hosts is taken for gone from its pools. It may be
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -262,7 +262,7 @@
     /// Takes over a newer list of leaving hosts.
     pub fn adopt_leaving(&self, leaving: LeavingHosts) {
         let mut state = self.state();
-        if state.leaving.adopt(leaving) {
+        if state.leaving.replace_if_newer(leaving) {
             let names: Vec<&str> = state.leaving.hosts.iter().map(HostId::as_str).collect();
             let revision = state.leaving.revision;
             emit(Event::HostsLeaving, format_args!("revision {revision}: {}", names.join(" ")));
--- a/reachhead_entry/src/process/asks.rs
+++ b/reachhead_entry/src/process/asks.rs
@@ -51,7 +51,7 @@
         if reply.is_closed() {
             continue;
         }
-        let answer = client.ask(address, &question);
+        let answer = client.request(address, &question);
         if let Err(error) = &answer {
             debug!("asking {address}: {error}");
         }
--- a/reachhead_entry/src/process/follow.rs
+++ b/reachhead_entry/src/process/follow.rs
@@ -101,7 +101,7 @@
         let asked = BootInstant::now();
         let question =
             ControlRequest::Follow { have: self.snapshot.version(), hosts: self.hosts_revision };
-        let reply = match self.client.ask(self.control, &question) {
+        let reply = match self.client.request(self.control, &question) {
             Ok(ControlReply::Follow(reply)) => Some(reply),
             _ => None,
         };
--- a/reachhead_entry/src/process/link.rs
+++ b/reachhead_entry/src/process/link.rs
@@ -52,7 +52,7 @@
         EntryRequest::Claim { incarnation, attempt } if incarnation == core.incarnation => {
             attempt_reply(core, attempt)
         }
-        EntryRequest::Claim { .. } => EntryReply::Stranger,
+        EntryRequest::Claim { .. } => EntryReply::UnknownAttempt,
         EntryRequest::Borrow { service, want } => core.lend(&service, want),
         EntryRequest::Return { loan } => {
             core.take_back(loan);
@@ -63,11 +63,11 @@
 
 fn attempt_reply(core: &Core, attempt: AttemptId) -> EntryReply {
     match core.attempts.borrow().state(attempt) {
-        None => EntryReply::Stranger,
+        None => EntryReply::UnknownAttempt,
         Some(AttemptState::Pending | AttemptState::Sent) => EntryReply::InProgress,
         Some(AttemptState::Abandoned) => EntryReply::Abandoned,
         Some(AttemptState::Done(answer)) => EntryReply::Done(Box::new((**answer).clone())),
-        Some(AttemptState::Unkept) => EntryReply::Unkept,
+        Some(AttemptState::Unkept) => EntryReply::NotKept,
         Some(AttemptState::Lost) => EntryReply::Lost,
     }
 }
@@ -88,8 +88,8 @@
     fn respond(&mut self, request: EntryRequest) -> EntryReply {
         let (reply, answer) = blocking::sync_channel(1);
         if self.questions.try_send(Question::Peer { request, reply }).is_err() {
-            return EntryReply::Stranger;
+            return EntryReply::UnknownAttempt;
         }
-        answer.recv_timeout(ANSWER_TIME).unwrap_or(EntryReply::Stranger)
+        answer.recv_timeout(ANSWER_TIME).unwrap_or(EntryReply::UnknownAttempt)
     }
 }
--- a/reachhead_entry/src/process/service.rs
+++ b/reachhead_entry/src/process/service.rs
@@ -225,7 +225,7 @@
             Acquired::Now(permit) => return Ok(permit),
             Acquired::Later(granted) => granted,
         };
-        match time::timeout(ask.deadline.left(), granted).await {
+        match time::timeout(ask.deadline.remaining(), granted).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(ErrorKind::NoMinion),
             Err(_) => Err(ErrorKind::DeadlineInQueue),
--- a/reachhead_entry/src/request/head.rs
+++ b/reachhead_entry/src/request/head.rs
@@ -48,7 +48,7 @@
     // The body is sent whole, so the library writes its length itself.
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    let left = deadline.left();
+    let left = deadline.remaining();
     headers.insert(DEADLINE_HEADER, HeaderValue::from(millis(left)));
     headers
 }
--- a/reachhead_entry/src/request/keyed.rs
+++ b/reachhead_entry/src/request/keyed.rs
@@ -130,7 +130,7 @@
             let kept = reply::keep(&answer.head, body);
             end(core, claim, AttemptState::Done(Rc::new(kept.clone())), ClaimState::Done(kept));
         }
-        SentBody::Streaming { .. } => end(core, claim, AttemptState::Unkept, ClaimState::Unkept),
+        SentBody::Streaming { .. } => end(core, claim, AttemptState::Unkept, ClaimState::NotKept),
     }
 }
 
@@ -165,7 +165,7 @@
     }
     match &held.state {
         ClaimState::Done(kept) => return Err(Settled::Replay(Rc::new(kept.clone()))),
-        ClaimState::Unkept => return Err(Settled::Error(ErrorKind::AnswerNotKept)),
+        ClaimState::NotKept => return Err(Settled::Error(ErrorKind::AnswerNotKept)),
         ClaimState::Lost => return Err(Settled::Error(ErrorKind::KeyOutcomeLost)),
         ClaimState::Claimed => {}
     }
@@ -182,11 +182,10 @@
         Some(EntryReply::Abandoned) => Ok(()),
         Some(EntryReply::InProgress) => Err(Settled::Error(ErrorKind::KeyInProgress)),
         Some(EntryReply::Done(kept)) => Err(Settled::Replay(Rc::new(*kept))),
-        Some(EntryReply::Unkept) => Err(Settled::Error(ErrorKind::AnswerNotKept)),
+        Some(EntryReply::NotKept) => Err(Settled::Error(ErrorKind::AnswerNotKept)),
         Some(EntryReply::Lost) => Err(Settled::Error(ErrorKind::KeyOutcomeLost)),
-        Some(EntryReply::Stranger | EntryReply::Lent { .. } | EntryReply::Returned) | None => {
-            Err(Settled::Error(ErrorKind::OwnerUnreachable))
-        }
+        Some(EntryReply::UnknownAttempt | EntryReply::Lent { .. } | EntryReply::Returned)
+        | None => Err(Settled::Error(ErrorKind::OwnerUnreachable)),
     }
 }
 
--- a/reachhead_entry/src/request/mod.rs
+++ b/reachhead_entry/src/request/mod.rs
@@ -20,7 +20,7 @@
 use reachhead_types::{
     boot_instant::BootInstant,
     error::{DEADLINE_HEADER, ErrorKind, KEY_HEADER},
-    fleet::KeyUse,
+    fleet::IdempotencyMode,
     id::IdempotencyKey,
 };
 use tokio::time;
@@ -112,8 +112,8 @@
 fn key(arrived: &Arrived) -> Result<Option<IdempotencyKey>, ErrorKind> {
     let mut values = arrived.head.headers.get_all(KEY_HEADER).iter();
     let value = match (arrived.route.row.key, values.next()) {
-        (KeyUse::Ignored, _) | (KeyUse::Accepted, None) => return Ok(None),
-        (KeyUse::Required, None) => return Err(ErrorKind::KeyMissing),
+        (IdempotencyMode::Ignored, _) | (IdempotencyMode::Accepted, None) => return Ok(None),
+        (IdempotencyMode::Required, None) => return Err(ErrorKind::KeyMissing),
         (_, Some(value)) => value,
     };
     if values.next().is_some() {
--- a/reachhead_entry/src/request/send.rs
+++ b/reachhead_entry/src/request/send.rs
@@ -108,7 +108,7 @@
     let sender = match permit.minion.take_idle(minions.idle_time.duration()) {
         Some(sender) => sender,
         None => {
-            let left = arrived.deadline.left();
+            let left = arrived.deadline.remaining();
             let limit = Duration::from_millis(minions.connect_time.get()).min(left);
             match out::connect(permit.minion.row.address, limit).await {
                 Some(sender) => sender,
@@ -150,7 +150,7 @@
         // Twice the time that the caller gave: then the connection is cut and the slot given back.
         let limit = deadline + deadline.duration_since(started);
         let mut exchange = Exchange::new(Box::pin(self.run()), limit);
-        match time::timeout(deadline.left(), &mut exchange).await {
+        match time::timeout(deadline.remaining(), &mut exchange).await {
             Ok(result) => result,
             Err(_) => {
                 if started.elapsed() >= BLAME_TIME {
@@ -185,7 +185,7 @@
 
     /// Waits for the end as long as the slot is kept for it.
     pub async fn late(mut self) -> SendResult {
-        let left = self.limit.left();
+        let left = self.limit.remaining();
         let result = time::timeout(left, &mut self).await;
         if result.is_err() {
             self.running = None;
--- a/reachhead_link/src/client.rs
+++ b/reachhead_link/src/client.rs
@@ -9,7 +9,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-use crate::server::MESSAGE_LIMIT;
+use crate::server::MAX_MESSAGE_BYTES;
 
 /// Sockets that are kept at most; a host speaks with a few peers at a time.
 const SOCKET_LIMIT: usize = 16;
@@ -43,7 +43,7 @@
     /// # Errors
     ///
     /// Fails if there is no readable answer in time; whether the question arrived is then unknown.
-    pub fn ask(&mut self, address: SocketAddr, question: &Q) -> Result<A, LinkClientError> {
+    pub fn request(&mut self, address: SocketAddr, question: &Q) -> Result<A, LinkClientError> {
         let result = self.exchange(address, question);
         if result.is_err() {
             // A fresh socket forgets the question; the old one would repeat it for ever.
@@ -70,7 +70,7 @@
         let socket = Socket::new(Protocol::Req0)?;
         socket.set_opt::<SendTimeout>(Some(self.timeout))?;
         socket.set_opt::<RecvTimeout>(Some(self.timeout))?;
-        socket.set_opt::<RecvMaxSize>(MESSAGE_LIMIT)?;
+        socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
         socket.dial_async(&format!("tcp://{address}"))?;
         self.sockets.insert(address, socket.clone());
         Ok(socket)
--- a/reachhead_link/src/message.rs
+++ b/reachhead_link/src/message.rs
@@ -76,7 +76,8 @@
     /// The leaving hosts of a newer host list.
     pub leaving: Option<LeavingHosts>,
     /// Whether the store did not answer the peer's last call.
-    pub is_blind: bool,
+    #[serde(rename = "is_blind")]
+    pub is_cut_off: bool,
     /// How old the peer's list is at most.
     pub age: Option<Millis>,
 }
@@ -166,7 +167,9 @@
     /// The attempt was sent to a minion and its answer is lost.
     Lost,
     /// The attempt ended, and its answer is too large to keep.
-    Unkept,
+    #[serde(rename = "unkept")]
+    NotKept,
     /// This process does not know the attempt: it is another incarnation, or forgot it.
-    Stranger,
+    #[serde(rename = "stranger")]
+    UnknownAttempt,
 }
--- a/reachhead_link/src/server.rs
+++ b/reachhead_link/src/server.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// Largest message that is taken, in bytes: a whole configuration fits, a flood does not.
-pub const MESSAGE_LIMIT: usize = 64 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// Why a listener could not be set up.
 #[derive(Debug, Error)]
@@ -76,7 +76,7 @@
 fn listen(address: SocketAddr) -> Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Rep0)?;
     socket.set_opt::<RecvTimeout>(Some(Duration::from_secs(3600)))?;
-    socket.set_opt::<RecvMaxSize>(MESSAGE_LIMIT)?;
+    socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
     socket.listen(&format!("tcp://{address}"))?;
     Ok(socket)
 }
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -145,9 +145,9 @@
     Services {
         store: Arc::new(
             GuardedStore::new(table(STORE_TIMEOUT), MAX_STORE_CALLS_PER_S)
-                .with_parts(part_of)
+                .with_partitions(part_of)
                 .with_adaptive_timeouts()
-                .with_longest_pause(MAX_PROBE_PAUSE),
+                .with_max_probe_pause(MAX_PROBE_PAUSE),
         ),
         feed: Arc::new(table(FEED_TIMEOUT)),
         workers: Arc::new(HttpWorkers::new(Arc::clone(client), ORDER_TIMEOUT, POLL_TIMEOUT)),
--- a/reachhead_pool/src/controller/mod.rs
+++ b/reachhead_pool/src/controller/mod.rs
@@ -244,7 +244,7 @@
 
 impl TrackedHost {
     fn is_moving(&self) -> bool {
-        self.host.row.phase != HostPhase::Serving || self.host.row.want.is_some()
+        self.host.row.phase != HostPhase::Serving || self.host.row.target_pool.is_some()
     }
 
     /// Records the current status of the host and returns its observation; a budget must be
--- a/reachhead_pool/src/controller/steps.rs
+++ b/reachhead_pool/src/controller/steps.rs
@@ -156,7 +156,7 @@
                 round.cache.record_write(&services, written);
             }
             HostStep::HandOver(to) => {
-                let has_moved = hosts::hand_over(&*self.store, &host, &to, lease).await?;
+                let has_moved = hosts::move_to_pool(&*self.store, &host, &to, lease).await?;
                 self.invalidate_hosts(round.pool);
                 if has_moved {
                     self.events.push(PoolEvent::HostMoved(id.clone(), to));
@@ -235,7 +235,7 @@
             return Ok(None);
         };
         let fence = Fence { lease: *lease, head: *head };
-        let written = hosts::put(&*self.store, host, &row, fence, &budgets).await;
+        let written = hosts::update_row(&*self.store, host, &row, fence, &budgets).await;
         let (Some(owned), Ok(Some(revision))) = (self.owned.get_mut(pool), &written) else {
             self.invalidate_hosts(pool);
             return written;
@@ -315,7 +315,8 @@
     ) -> Vec<HostId> {
         let is_started = |tracked: &&TrackedHost| {
             let row = &tracked.host.row;
-            row.wave.is_some() || wave.is_some_and(|wave| row.done.as_ref() == Some(&wave.name))
+            row.wave.is_some()
+                || wave.is_some_and(|wave| row.last_wave.as_ref() == Some(&wave.name))
         };
         let started_racks: BTreeSet<&RackName> =
             self.hosts.values().filter(is_started).map(|tracked| &tracked.host.row.rack).collect();
@@ -331,7 +332,7 @@
         due.sort_by_cached_key(|tracked| {
             let Host { id, row, .. } = &tracked.host;
             let priority = Reverse(placements.priority(id, &remaining));
-            (row.want.is_none(), priority, !started_racks.contains(&row.rack), &row.rack, id)
+            (row.target_pool.is_none(), priority, !started_racks.contains(&row.rack), &row.rack, id)
         });
         due.into_iter().map(|tracked| tracked.host.id.clone()).collect()
     }
--- a/reachhead_pool/src/host.rs
+++ b/reachhead_pool/src/host.rs
@@ -79,13 +79,15 @@
 
 /// Returns the pool that operators want a host in, if it is in another one.
 fn target_pool(row: &HostRow) -> Option<&PoolName> {
-    row.want.as_ref().filter(|want| **want != row.pool)
+    row.target_pool.as_ref().filter(|want| **want != row.pool)
 }
 
 /// Returns the first step of a host in service: a move goes before a wave.
 pub fn start_step(row: &HostRow, wave: Option<&WaveRow>) -> HostStep {
-    match (&row.want, wave) {
-        (Some(want), _) if *want == row.pool => update_row(HostRow { want: None, ..row.clone() }),
+    match (&row.target_pool, wave) {
+        (Some(want), _) if *want == row.pool => {
+            update_row(HostRow { target_pool: None, ..row.clone() })
+        }
         (Some(_), _) => HostStep::StartDrain(None),
         (None, Some(wave)) if is_due(row, wave) => HostStep::StartDrain(Some(wave.name.clone())),
         (None, _) => HostStep::Wait,
@@ -94,7 +96,7 @@
 
 /// Returns whether a running wave has yet to process a host.
 pub fn is_due(row: &HostRow, wave: &WaveRow) -> bool {
-    wave.state == WaveState::Running && row.done.as_ref() != Some(&wave.name)
+    wave.state == WaveState::Running && row.last_wave.as_ref() != Some(&wave.name)
 }
 
 /// Returns whether a drain has to be cancelled because its reason is gone or a budget is exceeded.
@@ -137,7 +139,7 @@
         _ if is_booted => update_row(HostRow {
             phase: HostPhase::Arriving,
             wave: None,
-            done: row.wave.clone(),
+            last_wave: row.wave.clone(),
             boots: None,
             ..row.clone()
         }),
--- a/reachhead_pool/tests/moves/cluster.rs
+++ b/reachhead_pool/tests/moves/cluster.rs
@@ -136,7 +136,7 @@
     }
 
     fn request_move(&mut self, host: HostId, to: PoolName) {
-        match block_on(hosts::want(&*self.platform, &host, Some(&to))) {
+        match block_on(hosts::request_move(&*self.platform, &host, Some(&to))) {
             Ok(_) => drop(self.wanted.insert(host, to)),
             Err(HostError::Raced) => {}
             Err(error) => panic!("{error}"),
@@ -204,7 +204,7 @@
             let status = self.platform.status_of(&id);
             row.phase == HostPhase::Serving
                 && row.pool == self.wanted[&id]
-                && row.want.is_none()
+                && row.target_pool.is_none()
                 && row.wave.is_none()
                 && !is_due
                 && !status.is_drained()
--- a/reachhead_store/src/adaptive_timeout.rs
+++ b/reachhead_store/src/adaptive_timeout.rs
@@ -38,7 +38,7 @@
 
 impl AdaptiveTimeouts {
     /// Returns the patience with calls of this kind.
-    pub fn of(&mut self, kind: CallKind) -> &mut AdaptiveTimeout {
+    pub fn for_kind(&mut self, kind: CallKind) -> &mut AdaptiveTimeout {
         match kind {
             CallKind::Short => &mut self.short,
             CallKind::Scan => &mut self.scan,
@@ -56,20 +56,20 @@
 
 impl AdaptiveTimeout {
     /// Returns how long the next answer is waited for.
-    pub fn limit(self) -> Duration {
+    pub fn current(self) -> Duration {
         let limit = (self.usual * USUAL_FACTOR).max(LEAST);
         (limit * (1 << self.doubled.min(4))).min(MOST)
     }
 
     /// Notes how long an answer took.
-    pub fn learn(&mut self, took: Duration) {
+    pub fn record_answer(&mut self, took: Duration) {
         self.usual = (self.usual * (8 - LEARNING_PART) + took * LEARNING_PART) / 8;
         self.doubled = 0;
     }
 
     /// Notes that an answer did not come in time: it is lost, or the store has become slow, and then the next has to be waited
     /// for longer.
-    pub fn lengthen(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.doubled += 1;
     }
 }
--- a/reachhead_store/src/breaker.rs
+++ b/reachhead_store/src/breaker.rs
@@ -8,33 +8,33 @@
 };
 
 /// Failures in a row after which calls fail at once.
-pub const FAILURE_LIMIT: u32 = 3;
+pub const MAX_FAILURES: u32 = 3;
 
 /// First pause between two probes of a store that is down.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(100);
+pub const MIN_PROBE_PAUSE: Duration = Duration::from_millis(100);
 
 /// Longest pause between two probes.
-pub const LAST_PAUSE: Duration = Duration::from_secs(2);
+pub const MAX_PROBE_PAUSE: Duration = Duration::from_secs(2);
 
 /// How long a call may go without an answer, and no other have one since it was made, before the store counts
 /// as stalled. One that is slow answers some call within this: it carries calls out in several parts.
-pub const STALL_TIME: Duration = Duration::from_millis(900);
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Longest wait for the rate limit that is worth it to a caller.
-pub const PATIENCE: Duration = Duration::from_millis(250);
+pub const MAX_RATE_WAIT: Duration = Duration::from_millis(250);
 
 /// Calls that may go at once after a quiet time, as a time's worth of the rate.
 const BURST: Duration = Duration::from_secs(1);
 
 /// What to do with a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gate {
+pub enum Admission {
     /// Make it.
-    Go,
+    Proceed,
     /// Make it after this wait, so that the rate holds.
     Wait(Duration),
-    /// Fail it at once: it would have to wait longer than [`PATIENCE`].
-    Full,
+    /// Fail it at once: it would have to wait longer than [`MAX_RATE_WAIT`].
+    RateLimited,
     /// Fail it at once: the store is down or stalled, and its next probe is not due.
     Down,
 }
@@ -55,17 +55,17 @@
         }
     }
 
-    /// Decides on a call at `now`; one that is `Full` does not count.
-    pub fn gate(&mut self, now: Instant) -> Gate {
+    /// Decides on a call at `now`; one that is `RateLimited` does not count.
+    pub fn admit(&mut self, now: Instant) -> Admission {
         // The schedule may lag behind the clock by a burst.
         let floor = now.checked_sub(BURST).unwrap_or(now);
         let slot = self.next.max(floor) + self.interval;
         let wait = slot.saturating_duration_since(now);
-        if wait > PATIENCE {
-            return Gate::Full;
+        if wait > MAX_RATE_WAIT {
+            return Admission::RateLimited;
         }
         self.next = slot;
-        if wait.is_zero() { Gate::Go } else { Gate::Wait(wait) }
+        if wait.is_zero() { Admission::Proceed } else { Admission::Wait(wait) }
     }
 }
 
@@ -98,8 +98,8 @@
         Self {
             limit: None,
             failures: 0,
-            pause: FIRST_PAUSE,
-            longest: LAST_PAUSE,
+            pause: MIN_PROBE_PAUSE,
+            longest: MAX_PROBE_PAUSE,
             probe: now,
             open: BTreeMap::new(),
             count: 0,
@@ -111,12 +111,12 @@
 
     /// Sets the longest pause between two probes.
     #[must_use]
-    pub fn with_longest_pause(self, longest: Duration) -> Self {
+    pub fn with_max_probe_pause(self, longest: Duration) -> Self {
         Self { longest, ..self }
     }
 
     /// Notes that a call begins, and returns its number.
-    pub fn begin(&mut self, now: Instant) -> u64 {
+    pub fn start_call(&mut self, now: Instant) -> u64 {
         self.count += 1;
         self.waiting.get_or_insert(now);
         self.open.insert(self.count, now);
@@ -124,7 +124,7 @@
     }
 
     /// Notes that a call is over, whatever came of it.
-    pub fn end(&mut self, number: u64) {
+    pub fn end_call(&mut self, number: u64) {
         self.open.remove(&number);
     }
 
@@ -132,36 +132,36 @@
     fn is_stalled(&mut self, now: Instant) -> bool {
         let oldest = self.open.values().next().copied().into_iter().chain(self.waiting).min();
         let since = oldest.map(|begun| begun.max(self.answered));
-        self.stalled |= since.is_some_and(|since| now > since + STALL_TIME);
+        self.stalled |= since.is_some_and(|since| now > since + STALL_TIMEOUT);
         self.stalled && !self.open.is_empty()
     }
 
-    /// Decides on a call at `now`; only `Go` and `Wait` count against the rate.
-    pub fn gate(&mut self, now: Instant) -> Gate {
+    /// Decides on a call at `now`; only `Proceed` and `Wait` count against the rate.
+    pub fn admit(&mut self, now: Instant) -> Admission {
         if self.is_stalled(now) {
-            return Gate::Down;
+            return Admission::Down;
         }
         if self.is_down() {
             if now < self.probe {
-                return Gate::Down;
+                return Admission::Down;
             }
             // Only this call probes; the others fail until it comes back or the pause is over.
             self.probe = now + self.pause;
         }
-        self.limit.as_mut().map_or(Gate::Go, |limit| limit.gate(now))
+        self.limit.as_mut().map_or(Admission::Proceed, |limit| limit.admit(now))
     }
 
     /// Notes that the store answered.
-    pub fn succeed(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.answered = now;
         self.waiting = None;
         self.stalled = false;
         self.failures = 0;
-        self.pause = FIRST_PAUSE;
+        self.pause = MIN_PROBE_PAUSE;
     }
 
     /// Notes that the store did not answer; `jitter` in 0..1 spreads the probes of many hosts.
-    pub fn fail(&mut self, now: Instant, jitter: f64) {
+    pub fn record_failure(&mut self, now: Instant, jitter: f64) {
         self.failures = self.failures.saturating_add(1);
         if self.is_down() {
             self.probe = now + self.pause.mul_f64(0.5 + jitter.clamp(0.0, 1.0) / 2.0);
@@ -171,7 +171,7 @@
 
     /// Tells whether the store is taken for down.
     pub fn is_down(&self) -> bool {
-        self.failures >= FAILURE_LIMIT
+        self.failures >= MAX_FAILURES
     }
 
     /// Tells whether a call that is let through now looks whether the store is back. The breaker closes by its answer alone,
--- a/reachhead_store/src/claim.rs
+++ b/reachhead_store/src/claim.rs
@@ -17,7 +17,8 @@
     /// It ran and this is its answer.
     Done(KeptAnswer),
     /// It ran, and its answer is too large to keep.
-    Unkept,
+    #[serde(rename = "unkept")]
+    NotKept,
     /// It was sent to a minion and its answer is lost.
     Lost,
 }
--- a/reachhead_store/src/config/change.rs
+++ b/reachhead_store/src/config/change.rs
@@ -142,7 +142,7 @@
             let page = self.store.scan(scan).await.map_err(ChangeError::NotDone)?;
             if !page.rows.is_empty() {
                 let fault = RowFault { key: key.clone(), text: "still has hosts".to_owned() };
-                return Err(ChangeError::Faulty(vec![fault]));
+                return Err(ChangeError::Invalid(vec![fault]));
             }
         }
         Ok(checks)
@@ -157,14 +157,14 @@
     ) -> Result<Step, ChangeError> {
         let keys: Vec<RowKey> = request.writes.iter().map(|write| write.key.clone()).collect();
         let before =
-            Fleet::from_rows(snapshot.version(), snapshot.rows()).map_err(ChangeError::Faulty)?;
+            Fleet::from_rows(snapshot.version(), snapshot.rows()).map_err(ChangeError::Invalid)?;
         self.allow(&before, &before, &keys)?;
         check_expected(snapshot, request)?;
         let version = snapshot.version().next();
         let mut next = snapshot.clone();
         let gap = |_| ChangeError::NotDone(StoreError::NotDone("the book moved".to_owned()));
         next.apply(&delta(snapshot, request)).map_err(gap)?;
-        let faulty = |faults| ChangeError::Faulty(self.own_faults(&before, &keys, faults));
+        let faulty = |faults| ChangeError::Invalid(self.own_faults(&before, &keys, faults));
         let after = Fleet::from_rows(version, next.rows()).map_err(faulty)?;
         self.allow(&before, &after, &keys)?;
         Ok(Step { before, after, next })
@@ -186,7 +186,7 @@
         if self.scope == Scope::Tree {
             return faults;
         }
-        let is_own = |key: &RowKey| keys.contains(key) || self.scope.reads(before, key);
+        let is_own = |key: &RowKey| keys.contains(key) || self.scope.can_read(before, key);
         let (mut own, others): (Vec<RowFault>, Vec<RowFault>) =
             faults.into_iter().partition(|fault| is_own(&fault.key));
         if let (Some(key), false) = (keys.first(), others.is_empty()) {
@@ -268,7 +268,7 @@
         .collect();
     match faults.is_empty() {
         true => Ok(()),
-        false => Err(ChangeError::Faulty(faults)),
+        false => Err(ChangeError::Invalid(faults)),
     }
 }
 
--- a/reachhead_store/src/config/follow.rs
+++ b/reachhead_store/src/config/follow.rs
@@ -26,7 +26,7 @@
     /// The changes after its version.
     Delta(Delta),
     /// Everything, since the log does not reach back so far.
-    Whole(ConfigSnapshot),
+    Snapshot(ConfigSnapshot),
 }
 
 /// Returns what a follower at version `have` lacks, or `None` if that is the newest.
@@ -48,7 +48,7 @@
         // The log does not reach from here to there.
         _ => read_whole(store, head.version)
             .await
-            .map(|snapshot| Some(ConfigUpdate::Whole(snapshot))),
+            .map(|snapshot| Some(ConfigUpdate::Snapshot(snapshot))),
     }
 }
 
@@ -61,7 +61,7 @@
     match fetch(store, snapshot.version()).await? {
         None => Ok(false),
         Some(ConfigUpdate::Delta(delta)) => snapshot.apply(&delta).map_err(|gap| gap_error(&gap)),
-        Some(ConfigUpdate::Whole(whole)) => {
+        Some(ConfigUpdate::Snapshot(whole)) => {
             *snapshot = whole;
             Ok(true)
         }
--- a/reachhead_store/src/config/history.rs
+++ b/reachhead_store/src/config/history.rs
@@ -79,7 +79,7 @@
 /// # Errors
 ///
 /// Any [`StoreError`].
-pub async fn row(
+pub async fn row_history(
     store: &dyn Store,
     key: &RowKey,
     after: Version,
@@ -177,7 +177,11 @@
 /// # Errors
 ///
 /// Any [`StoreError`]; what was cut stays cut, and the same again goes on.
-pub async fn cut(store: &dyn Store, newest: Version, keep: u64) -> Result<usize, StoreError> {
+pub async fn truncate_log(
+    store: &dyn Store,
+    newest: Version,
+    keep: u64,
+) -> Result<usize, StoreError> {
     let bound = Version(newest.0.saturating_sub(keep));
     let prefix = keys::LOG_PREFIX.to_owned();
     let page = store.scan(Scan { prefix, after: None, limit: CUT_SIZE }).await?;
--- a/reachhead_store/src/config/mod.rs
+++ b/reachhead_store/src/config/mod.rs
@@ -109,7 +109,7 @@
 pub enum ChangeError {
     /// The rows would have faults.
     #[error("{} fault(s)", .0.len())]
-    Faulty(Vec<RowFault>),
+    Invalid(Vec<RowFault>),
     /// Another operator changed these rows since they were read.
     #[error("changed since they were read: {0:?}")]
     Raced(Vec<RowKey>),
--- a/reachhead_store/src/guarded.rs
+++ b/reachhead_store/src/guarded.rs
@@ -12,18 +12,18 @@
 use crate::{
     Store, StoreError,
     adaptive_timeout::{AdaptiveTimeout, AdaptiveTimeouts, CallKind},
-    breaker::{Breaker, Gate, LAST_PAUSE},
+    breaker::{Admission, Breaker, MAX_PROBE_PAUSE},
     row::{Commit, Key, Page, Row, Scan, Txn},
 };
 
 /// Returns the part of the store that a key, or the beginning of one, lies in.
-pub type PartOf = fn(&str) -> &str;
+pub type PartitionOf = fn(&str) -> &str;
 
 /// A store whose calls are limited in rate and fail at once while it is down.
 pub struct GuardedStore<S> {
     inner: Arc<S>,
     gates: Arc<Mutex<Gates>>,
-    part_of: PartOf,
+    part_of: PartitionOf,
 }
 
 /// A breaker for the whole store, which limits the rate and notices when nothing is answered any more, and one for each
@@ -38,20 +38,20 @@
 impl Gates {
     fn part(&mut self, part: &str) -> &mut Breaker {
         if !self.parts.contains_key(part) {
-            let breaker = Breaker::unlimited(now()).with_longest_pause(self.longest);
+            let breaker = Breaker::unlimited(now()).with_max_probe_pause(self.longest);
             self.parts.insert(part.to_owned(), breaker);
         }
         self.parts.get_mut(part).unwrap_or_else(|| unreachable!("it was just put there"))
     }
 
     fn adaptive_timeout(&mut self, kind: CallKind) -> Option<&mut AdaptiveTimeout> {
-        self.adaptive_timeouts.as_mut().map(|adaptive_timeouts| adaptive_timeouts.of(kind))
+        self.adaptive_timeouts.as_mut().map(|adaptive_timeouts| adaptive_timeouts.for_kind(kind))
     }
 
-    fn gate(&mut self, part: &str, now: Instant) -> Gate {
-        match self.part(part).gate(now) {
-            Gate::Down => Gate::Down,
-            _ => self.whole.gate(now),
+    fn admit(&mut self, part: &str, now: Instant) -> Admission {
+        match self.part(part).admit(now) {
+            Admission::Down => Admission::Down,
+            _ => self.whole.admit(now),
         }
     }
 }
@@ -70,7 +70,7 @@
         let gates = Gates {
             whole: Breaker::new(rate, now()),
             adaptive_timeouts: None,
-            longest: LAST_PAUSE,
+            longest: MAX_PROBE_PAUSE,
             parts: BTreeMap::new(),
         };
         Self { inner: Arc::new(inner), gates: Arc::new(Mutex::new(gates)), part_of: |_| "" }
@@ -79,7 +79,7 @@
     /// Gives each part of the store a breaker of its own: a part that is away must not close the others, of which the pools
     /// that lie there know nothing.
     #[must_use]
-    pub fn with_parts(self, part_of: PartOf) -> Self {
+    pub fn with_partitions(self, part_of: PartitionOf) -> Self {
         Self { part_of, ..self }
     }
 
@@ -92,7 +92,7 @@
 
     /// Sets the longest pause between two probes of a part that is away.
     #[must_use]
-    pub fn with_longest_pause(self, longest: Duration) -> Self {
+    pub fn with_max_probe_pause(self, longest: Duration) -> Self {
         locked(&self.gates).longest = longest;
         self
     }
@@ -110,14 +110,14 @@
         call: impl FnOnce(Arc<S>) -> BoxFuture<'static, Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let part = (self.part_of)(key);
-        let gate = locked(&self.gates).gate(part, now());
+        let gate = locked(&self.gates).admit(part, now());
         match gate {
-            Gate::Go => {}
-            Gate::Wait(wait) => time::sleep(wait).await,
-            Gate::Full => {
+            Admission::Proceed => {}
+            Admission::Wait(wait) => time::sleep(wait).await,
+            Admission::RateLimited => {
                 return Err(StoreError::NotDone("the rate limit is used up".to_owned()));
             }
-            Gate::Down => return Err(StoreError::NotDone("the store is down".to_owned())),
+            Admission::Down => return Err(StoreError::NotDone("the store is down".to_owned())),
         }
         let open = Open::new(Arc::clone(&self.gates), part, kind);
         let (probing, adaptive_timeout) = {
@@ -127,14 +127,14 @@
                 probing,
                 gates
                     .adaptive_timeout(kind)
-                    .map_or(Duration::MAX, |adaptive_timeout| adaptive_timeout.limit()),
+                    .map_or(Duration::MAX, |adaptive_timeout| adaptive_timeout.current()),
             )
         };
         let call = call(Arc::clone(&self.inner));
         let noted = async move {
             let Ok(result) = time::timeout(adaptive_timeout, call).await else {
                 if let Some(adaptive_timeout) = locked(&open.gates).adaptive_timeout(kind) {
-                    adaptive_timeout.lengthen();
+                    adaptive_timeout.record_timeout();
                 }
                 return Err(StoreError::Lost("no answer in the usual time".to_owned()));
             };
@@ -162,7 +162,7 @@
 impl Open {
     fn new(gates: Arc<Mutex<Gates>>, part: &str, kind: CallKind) -> Self {
         let begun = now();
-        let number = locked(&gates).whole.begin(begun);
+        let number = locked(&gates).whole.start_call(begun);
         Self { gates, part: part.to_owned(), kind, begun, number }
     }
 
@@ -170,25 +170,25 @@
         let now = now();
         let mut gates = locked(&self.gates);
         if matches!(result, Ok(_) | Err(StoreError::Refused(_) | StoreError::Busy(_))) {
-            gates.whole.succeed(now);
+            gates.whole.record_success(now);
             let took = now.saturating_duration_since(self.begun);
             if let Some(adaptive_timeout) = gates.adaptive_timeout(self.kind) {
-                adaptive_timeout.learn(took);
+                adaptive_timeout.record_answer(took);
             }
         }
         let breaker = gates.part(&self.part);
         match result {
-            Ok(_) | Err(StoreError::Refused(_)) => breaker.succeed(now),
+            Ok(_) | Err(StoreError::Refused(_)) => breaker.record_success(now),
             // It answers at once, so nobody is kept waiting by asking it.
             Err(StoreError::Busy(_)) => {}
-            Err(_) => breaker.fail(now, rand::random()),
+            Err(_) => breaker.record_failure(now, rand::random()),
         }
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        locked(&self.gates).whole.end(self.number);
+        locked(&self.gates).whole.end_call(self.number);
     }
 }
 
--- a/reachhead_store/src/hosts.rs
+++ b/reachhead_store/src/hosts.rs
@@ -91,7 +91,7 @@
 /// # Errors
 ///
 /// Any [`HostError`].
-pub async fn want(
+pub async fn request_move(
     store: &dyn Store,
     id: &HostId,
     to: Option<&PoolName>,
@@ -102,11 +102,11 @@
         if let Some(to) = to {
             txn = pool_check(txn, to, read_pool(store, to).await?);
         }
-        let want = to.filter(|to| **to != host.row.pool).cloned();
-        if want == host.row.want {
+        let target_pool = to.filter(|to| **to != host.row.pool).cloned();
+        if target_pool == host.row.target_pool {
             return Ok(host.row);
         }
-        let row = HostRow { want, ..host.row };
+        let row = HostRow { target_pool, ..host.row };
         let txn = txn
             .with_check(keys::host(id), Some(host.revision))
             .with_write(keys::host(id), json(&row))
@@ -129,7 +129,7 @@
             Err(HostError::Missing(_)) => return Ok(()),
             found => found?,
         };
-        if host.row.phase != HostPhase::Serving || host.row.want.is_some() {
+        if host.row.phase != HostPhase::Serving || host.row.target_pool.is_some() {
             return Err(HostError::Moving(id.clone()));
         }
         let pool = &host.row.pool;
@@ -242,7 +242,7 @@
 /// # Errors
 ///
 /// Any [`HostError`]; after a lost answer the host is in one of the two pools.
-pub async fn hand_over(
+pub async fn move_to_pool(
     store: &dyn Store,
     host: &Host,
     to: &PoolName,
@@ -253,7 +253,7 @@
         pool: to.clone(),
         epoch: host.row.epoch.next(),
         phase: HostPhase::Arriving,
-        want: None,
+        target_pool: None,
         ..host.row.clone()
     };
     let pool = read_pool(store, to).await?;
@@ -275,7 +275,7 @@
 /// # Errors
 ///
 /// Any [`StoreError`]; after a lost answer the rows must be read again.
-pub async fn put(
+pub async fn update_row(
     store: &dyn Store,
     host: &Host,
     row: &HostRow,
--- a/reachhead_store/src/waves.rs
+++ b/reachhead_store/src/waves.rs
@@ -115,7 +115,7 @@
     let hosts = hosts::in_pool(store, pool).await?;
     let is_left = |host: &hosts::Host| match row.state {
         WaveState::Cancelled => host.row.wave.is_some(),
-        _ => host.row.done.as_ref() != Some(&row.name),
+        _ => host.row.last_wave.as_ref() != Some(&row.name),
     };
     Ok(!hosts.iter().any(is_left))
 }
--- a/reachhead_store/tests/adaptive_timeout.rs
+++ b/reachhead_store/tests/adaptive_timeout.rs
@@ -10,25 +10,25 @@
 fn a_lost_answer_of_a_quick_store_is_given_up_soon() {
     let mut adaptive_timeout = AdaptiveTimeout::default();
     for _ in 0..50 {
-        adaptive_timeout.learn(MILLIS(8));
+        adaptive_timeout.record_answer(MILLIS(8));
     }
-    assert!(adaptive_timeout.limit() <= MILLIS(400), "{:?}", adaptive_timeout.limit());
+    assert!(adaptive_timeout.current() <= MILLIS(400), "{:?}", adaptive_timeout.current());
 }
 
 #[test]
 fn a_store_that_becomes_slow_is_not_asked_twice_for_long() {
     let mut adaptive_timeout = AdaptiveTimeout::default();
-    adaptive_timeout.learn(MILLIS(8));
+    adaptive_timeout.record_answer(MILLIS(8));
     // Answers take half a second from now on, so the first calls are given up.
     let mut given_up = 0;
     for _ in 0..20 {
-        if adaptive_timeout.limit() < MILLIS(500) {
-            adaptive_timeout.lengthen();
+        if adaptive_timeout.current() < MILLIS(500) {
+            adaptive_timeout.record_timeout();
             given_up += 1;
         } else {
-            adaptive_timeout.learn(MILLIS(500));
+            adaptive_timeout.record_answer(MILLIS(500));
         }
     }
     assert!(given_up <= 4, "{given_up} calls of twenty were made again for nothing");
-    assert!(adaptive_timeout.limit() > MILLIS(1000), "{:?}", adaptive_timeout.limit());
+    assert!(adaptive_timeout.current() > MILLIS(1000), "{:?}", adaptive_timeout.current());
 }
--- a/reachhead_store/tests/breaker.rs
+++ b/reachhead_store/tests/breaker.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use reachhead_property::properties;
-use reachhead_store::breaker::{Breaker, FAILURE_LIMIT, Gate, LAST_PAUSE};
+use reachhead_store::breaker::{Admission, Breaker, MAX_FAILURES, MAX_PROBE_PAUSE};
 
 properties! {
     /// Over any pattern of calls no more get through than the rate and one burst allow.
@@ -17,7 +17,7 @@
         let mut passed = 0;
         for gap in gaps {
             now += Duration::from_millis(u64::from(gap) / 8);
-            passed += u32::from(matches!(breaker.gate(now), Gate::Go | Gate::Wait(_)));
+            passed += u32::from(matches!(breaker.admit(now), Admission::Proceed | Admission::Wait(_)));
         }
         let seconds = now.duration_since(start).as_secs_f64() + 0.25;
         f64::from(passed) <= f64::from(rate) * (seconds + 1.0) + 1.0
@@ -28,25 +28,25 @@
 fn an_outage_fails_calls_at_once_but_for_a_probe_now_and_then() {
     let start = Instant::now();
     let mut breaker = Breaker::new(100, start);
-    for _ in 0..FAILURE_LIMIT {
-        assert!(matches!(breaker.gate(start), Gate::Go));
-        breaker.fail(start, 1.0);
+    for _ in 0..MAX_FAILURES {
+        assert!(matches!(breaker.admit(start), Admission::Proceed));
+        breaker.record_failure(start, 1.0);
     }
     assert!(breaker.is_down());
     let mut probes = 0;
     for step in 0..60_000 {
         let now = start + Duration::from_millis(step);
-        if breaker.gate(now) != Gate::Down {
+        if breaker.admit(now) != Admission::Down {
             probes += 1;
-            breaker.fail(now, 1.0);
+            breaker.record_failure(now, 1.0);
         }
     }
     assert!((28..=40).contains(&probes), "{probes} probes in a minute");
-    let later = start + Duration::from_secs(60) + LAST_PAUSE;
-    assert_eq!(breaker.gate(later), Gate::Go);
-    breaker.succeed(later);
+    let later = start + Duration::from_secs(60) + MAX_PROBE_PAUSE;
+    assert_eq!(breaker.admit(later), Admission::Proceed);
+    breaker.record_success(later);
     assert!(!breaker.is_down());
-    assert_eq!(breaker.gate(later), Gate::Go);
+    assert_eq!(breaker.admit(later), Admission::Proceed);
 }
 
 #[test]
@@ -54,22 +54,22 @@
     let start = Instant::now();
     let mut breaker = Breaker::new(100, start);
     let at = |millis| start + Duration::from_millis(millis);
-    let first = breaker.begin(at(0));
-    assert_eq!(breaker.gate(at(800)), Gate::Go);
-    let second = breaker.begin(at(800));
-    assert_eq!(breaker.gate(at(1000)), Gate::Down);
+    let first = breaker.start_call(at(0));
+    assert_eq!(breaker.admit(at(800)), Admission::Proceed);
+    let second = breaker.start_call(at(800));
+    assert_eq!(breaker.admit(at(1000)), Admission::Down);
     // The first times out; the second still waits, and nobody else has to.
-    breaker.end(first);
-    breaker.fail(at(1800), 1.0);
-    assert_eq!(breaker.gate(at(1850)), Gate::Down);
+    breaker.end_call(first);
+    breaker.record_failure(at(1800), 1.0);
+    assert_eq!(breaker.admit(at(1850)), Admission::Down);
     // One call at a time looks whether the store is back.
-    breaker.end(second);
-    assert_eq!(breaker.gate(at(2600)), Gate::Go);
-    let probe = breaker.begin(at(2600));
-    assert_eq!(breaker.gate(at(2610)), Gate::Down);
-    breaker.end(probe);
-    breaker.succeed(at(2620));
-    assert_eq!(breaker.gate(at(2630)), Gate::Go);
+    breaker.end_call(second);
+    assert_eq!(breaker.admit(at(2600)), Admission::Proceed);
+    let probe = breaker.start_call(at(2600));
+    assert_eq!(breaker.admit(at(2610)), Admission::Down);
+    breaker.end_call(probe);
+    breaker.record_success(at(2620));
+    assert_eq!(breaker.admit(at(2630)), Admission::Proceed);
 }
 
 #[test]
@@ -77,11 +77,11 @@
     let start = Instant::now();
     let mut breaker = Breaker::new(100, start);
     let at = |millis| start + Duration::from_millis(millis);
-    breaker.begin(at(0));
+    breaker.start_call(at(0));
     for step in 1..8 {
-        breaker.begin(at(step * 400 - 200));
-        breaker.succeed(at(step * 400));
-        assert_eq!(breaker.gate(at(step * 400 + 300)), Gate::Go);
+        breaker.start_call(at(step * 400 - 200));
+        breaker.record_success(at(step * 400));
+        assert_eq!(breaker.admit(at(step * 400 + 300)), Admission::Proceed);
     }
 }
 
@@ -91,10 +91,10 @@
     let mut breaker = Breaker::new(100, start);
     let at = |millis| start + Duration::from_millis(millis);
     for step in 0..3 {
-        let call = breaker.begin(at(step * 350));
-        assert_eq!(breaker.gate(at(step * 350 + 1)), Gate::Go);
-        breaker.end(call);
+        let call = breaker.start_call(at(step * 350));
+        assert_eq!(breaker.admit(at(step * 350 + 1)), Admission::Proceed);
+        breaker.end_call(call);
     }
-    breaker.begin(at(1050));
-    assert_eq!(breaker.gate(at(1060)), Gate::Down, "nothing was answered for a second");
+    breaker.start_call(at(1050));
+    assert_eq!(breaker.admit(at(1060)), Admission::Down, "nothing was answered for a second");
 }
--- a/reachhead_store/tests/guarded.rs
+++ b/reachhead_store/tests/guarded.rs
@@ -104,7 +104,7 @@
 async fn a_part_that_is_away_does_not_close_the_others() {
     let down = Arc::new(AtomicBool::new(true));
     let failing = FailingStore { down, ..FailingStore::default() };
-    let store = GuardedStore::new(failing, 1000).with_parts(part_of);
+    let store = GuardedStore::new(failing, 1000).with_partitions(part_of);
     for _ in 0..40 {
         time::sleep(Duration::from_millis(50)).await;
         assert!(load(&store, "away").await.is_err());
@@ -117,7 +117,8 @@
     let down = Arc::new(AtomicBool::new(true));
     let failing = FailingStore { down: Arc::clone(&down), ..FailingStore::default() };
     let longest = Duration::from_millis(400);
-    let store = GuardedStore::new(failing, 1000).with_parts(part_of).with_longest_pause(longest);
+    let store =
+        GuardedStore::new(failing, 1000).with_partitions(part_of).with_max_probe_pause(longest);
     for _ in 0..20 {
         fail_for_a_while(&store, "away").await;
     }
--- a/reachhead_store/tests/history.rs
+++ b/reachhead_store/tests/history.rs
@@ -143,7 +143,7 @@
         let mut events = Vec::new();
         let mut after = Version(0);
         loop {
-            let page = block_on(history::row(&history.store, &key, after)).unwrap();
+            let page = block_on(history::row_history(&history.store, &key, after)).unwrap();
             let Some(last) = page.last() else { break };
             after = last.version;
             events.extend(page);
@@ -166,7 +166,7 @@
     let mut twice = request(1, &[1]);
     twice.writes.extend(request(1, &[1]).writes);
     assert!(
-        matches!(history.change(&twice), Err(ChangeError::Faulty(faults)) if faults.len() == 1)
+        matches!(history.change(&twice), Err(ChangeError::Invalid(faults)) if faults.len() == 1)
     );
     assert!(block_on(history::find(&history.store, Version(7))).unwrap().is_none());
     assert!(block_on(history::diff(&history.store, Version(0), Version(3), |_| true)).is_err());
@@ -178,7 +178,7 @@
         let history = history(&changes);
         let newest = history.copies.len() - 1;
         let keep = usize::from(keep) % (newest + 1);
-        while block_on(history::cut(&history.store, Version(newest as u64), keep as u64)).unwrap() > 0 {}
+        while block_on(history::truncate_log(&history.store, Version(newest as u64), keep as u64)).unwrap() > 0 {}
         let versions: Vec<u64> = block_on(history::log(&history.store, Version(0)))
             .unwrap()
             .iter()
@@ -188,7 +188,7 @@
         // Histories name what the log still has, and no more.
         let is_named = (0..ROWS).all(|number| {
             let key: RowKey = format!("group/g{number}").parse().unwrap();
-            let events = block_on(history::row(&history.store, &key, Version(0))).unwrap();
+            let events = block_on(history::row_history(&history.store, &key, Version(0))).unwrap();
             let found: Vec<u64> = events.iter().map(|event| event.version.0).collect();
             let written = |version: &&u64| history.written[**version as usize].contains(&key);
             found == kept.iter().filter(written).copied().collect::<Vec<u64>>()
--- a/reachhead_store/tests/scope.rs
+++ b/reachhead_store/tests/scope.rs
@@ -145,7 +145,7 @@
                 Ok(_) => after == naive && is_allowed(&key, &before, &after),
                 Err(ChangeError::Forbidden(_)) => after == before && !is_allowed(&key, &before, &naive),
                 // Rows of others are named to nobody.
-                Err(ChangeError::Faulty(faults)) => {
+                Err(ChangeError::Invalid(faults)) => {
                     let is_named = |fault: String| fault == key || is_allowed(&fault, &before, &before);
                     after == before && faults.iter().all(|fault| is_named(fault.key.to_string()))
                 }
--- a/reachhead_types/src/boot_instant.rs
+++ b/reachhead_types/src/boot_instant.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the time that is left until this moment, none if it is past.
-    pub fn left(self) -> Duration {
+    pub fn remaining(self) -> Duration {
         self.duration_since(Self::now())
     }
 
--- a/reachhead_types/src/fleet/mod.rs
+++ b/reachhead_types/src/fleet/mod.rs
@@ -108,7 +108,7 @@
 /// How a route treats `Idempotency-Key`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum KeyUse {
+pub enum IdempotencyMode {
     /// A key is handed on untouched; what may be repeated is told by the method alone.
     #[default]
     Ignored,
@@ -150,7 +150,7 @@
     pub service: ServiceName,
     /// How `Idempotency-Key` is treated.
     #[serde(default)]
-    pub key: KeyUse,
+    pub key: IdempotencyMode,
     /// Priority inside the group.
     #[serde(default)]
     pub class: Class,
--- a/reachhead_types/src/hosts.rs
+++ b/reachhead_types/src/hosts.rs
@@ -47,7 +47,7 @@
 
 impl LeavingHosts {
     /// Takes over `newer` if it is, and tells whether it was; an older list undoes nothing.
-    pub fn adopt(&mut self, newer: Self) -> bool {
+    pub fn replace_if_newer(&mut self, newer: Self) -> bool {
         let is_newer = newer.revision > self.revision;
         if is_newer {
             *self = newer;
--- a/reachhead_types/src/pool.rs
+++ b/reachhead_types/src/pool.rs
@@ -71,14 +71,14 @@
     /// Where it stands.
     pub phase: HostPhase,
     /// The pool that operators want it in; `None` leaves it where it is.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub want: Option<PoolName>,
+    #[serde(rename = "want", default, skip_serializing_if = "Option::is_none")]
+    pub target_pool: Option<PoolName>,
     /// The wave that it is drained for; `None` while it is not, or is drained to be moved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub wave: Option<WaveName>,
     /// The last wave that it has been through.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub done: Option<WaveName>,
+    #[serde(rename = "done", default, skip_serializing_if = "Option::is_none")]
+    pub last_wave: Option<WaveName>,
     /// The services whose budgets its drain spends.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub spent: BTreeSet<ServiceName>,
@@ -97,9 +97,9 @@
             pool,
             epoch: Epoch(0),
             phase: HostPhase::Serving,
-            want: None,
+            target_pool: None,
             wave: None,
-            done: None,
+            last_wave: None,
             spent: BTreeSet::new(),
             boots: None,
         }
--- a/reachhead_types/src/scope.rs
+++ b/reachhead_types/src/scope.rs
@@ -59,7 +59,7 @@
     }
 
     /// Tells whether an operator of this scope may read the row of `key`.
-    pub fn reads(&self, fleet: &Fleet, key: &RowKey) -> bool {
+    pub fn can_read(&self, fleet: &Fleet, key: &RowKey) -> bool {
         match reader(fleet, key) {
             Some(owner) => self.covers(&fleet.tree, &owner),
             None => *self == Self::Tree,
--- a/reachhead_types/tests/boot_instant.rs
+++ b/reachhead_types/tests/boot_instant.rs
@@ -27,7 +27,7 @@
     let now = BootInstant::now();
     thread::sleep(Duration::from_millis(2));
     assert!(now.elapsed() >= Duration::from_millis(2));
-    assert_eq!(now.left(), Duration::ZERO);
+    assert_eq!(now.remaining(), Duration::ZERO);
     assert_eq!(now.duration_since(now + Duration::from_secs(1)), Duration::ZERO);
     assert_eq!((now + Duration::from_secs(1)).duration_since(now), Duration::from_secs(1));
 }
--- a/reachhead_types/tests/hosts.rs
+++ b/reachhead_types/tests/hosts.rs
@@ -24,7 +24,7 @@
         let mut newest = None;
         reads.into_iter().filter(|_| !lists.is_empty()).all(|read| {
             let index = usize::from(read) % lists.len();
-            known.adopt(LeavingHosts::from(&lists[index]));
+            known.replace_if_newer(LeavingHosts::from(&lists[index]));
             newest = newest.max(Some(index));
             // The naive version: look the newest list up anew.
             newest.is_some_and(|newest| known == LeavingHosts::from(&lists[newest]))
