--- a/reachhead_store/src/adaptive_timeout.rs
+++ b/reachhead_store/src/adaptive_timeout.rs
@@ -1,35 +1,38 @@
-//! How long an answer of the store is waited for.
+//! Timeouts for store calls that adapt to the observed latency.
 //!
-//! Load: the store carries calls out and loses some of their answers, for seconds; callers wait for jobs to be stored and for
-//! their ends to be recorded. A call whose answer is lost is made again, and is found to have been done; the sooner that is,
-//! the sooner its callers are told. A store that is only slow must not be asked twice for everything.
+//! The store may execute calls and lose their answers for seconds at a time, while callers wait for
+//! jobs to be stored and for their ends to be recorded. A short timeout lets such a call be retried
+//! soon; the retry finds that it was already done. A store that is only slow must not receive every
+//! call twice, so the timeout grows with the latency.
 
 use std::time::Duration;
 
-/// Least time that an answer is waited for: a store that is well answers within some milliseconds, and one that has just
-/// become slow within this mostly.
-const LEAST: Duration = Duration::from_millis(350);
+/// Lower bound of a timeout: a healthy store answers within some milliseconds, and one that has just
+/// become slow mostly within this time.
+const MIN_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Longest time; the calls themselves run out before.
-const MOST: Duration = Duration::from_secs(4);
+/// Upper bound of a timeout; the deadline of the call itself expires earlier.
+const MAX_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How many times as long as usual an answer may take.
-const USUAL_FACTOR: u32 = 6;
+/// Ratio of a timeout to the mean latency.
+const TIMEOUT_FACTOR: u32 = 6;
 
-/// Weight of the newest answer in the usual time, as a part of eight.
-const LEARNING_PART: u32 = 1;
+/// Weight of the newest sample in the moving average of the latency, in eighths.
+const SAMPLE_WEIGHT_EIGHTHS: u32 = 1;
 
-/// What a call asks for. Reads of all rows of a part take longer than other calls by as much as there is to read, and say nothing of how
-/// long those take, nor those of them.
+/// The kind of a call, which decides whose latency its timeout follows.
+///
+/// A scan of a partition takes longer the more rows it reads, so its latency says nothing about the
+/// latency of other calls, and theirs nothing about a scan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
-    /// Some rows, or a transaction.
+    /// A read of some rows, or a transaction.
     Short,
-    /// All rows of a part.
+    /// A scan of all rows of a partition.
     Scan,
 }
 
-/// How long answers are waited for, apart for each kind of call.
+/// The adaptive timeouts of all call kinds.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AdaptiveTimeouts {
     short: AdaptiveTimeout,
@@ -37,7 +40,7 @@
 }
 
 impl AdaptiveTimeouts {
-    /// Returns the patience with calls of this kind.
+    /// Returns the timeout of calls of `kind`.
     pub fn for_kind(&mut self, kind: CallKind) -> &mut AdaptiveTimeout {
         match kind {
             CallKind::Short => &mut self.short,
@@ -46,30 +49,33 @@
     }
 }
 
-/// How long answers are waited for, by how long they took lately.
+/// A timeout that follows the moving average of the latency and doubles after each expiry.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AdaptiveTimeout {
-    usual: Duration,
-    /// Doublings since an answer last came in time.
-    doubled: u32,
+    mean_latency: Duration,
+    /// Timeouts since the last answer that arrived in time.
+    consecutive_timeouts: u32,
 }
 
 impl AdaptiveTimeout {
-    /// Returns how long the next answer is waited for.
+    /// Returns the timeout of the next call.
     pub fn current(self) -> Duration {
-        let limit = (self.usual * USUAL_FACTOR).max(LEAST);
-        (limit * (1 << self.doubled.min(4))).min(MOST)
+        let base = (self.mean_latency * TIMEOUT_FACTOR).max(MIN_TIMEOUT);
+        (base * (1 << self.consecutive_timeouts.min(4))).min(MAX_TIMEOUT)
     }
 
-    /// Notes how long an answer took.
-    pub fn record_answer(&mut self, took: Duration) {
-        self.usual = (self.usual * (8 - LEARNING_PART) + took * LEARNING_PART) / 8;
-        self.doubled = 0;
+    /// Records that an answer arrived after `latency`.
+    pub fn record_answer(&mut self, latency: Duration) {
+        self.mean_latency =
+            (self.mean_latency * (8 - SAMPLE_WEIGHT_EIGHTHS) + latency * SAMPLE_WEIGHT_EIGHTHS) / 8;
+        self.consecutive_timeouts = 0;
     }
 
-    /// Notes that an answer did not come in time: it is lost, or the store has become slow, and then the next has to be waited
-    /// for longer.
+    /// Records that a call timed out.
+    ///
+    /// Its answer is lost or the store has become slow; in the second case the next call needs a
+    /// longer timeout.
     pub fn record_timeout(&mut self) {
-        self.doubled += 1;
+        self.consecutive_timeouts += 1;
     }
 }
--- a/reachhead_store/src/claim.rs
+++ b/reachhead_store/src/claim.rs
@@ -1,4 +1,4 @@
-//! The row of a claim on an idempotency key; docs/AT-MOST-ONCE.md explains it.
+//! The stored row of a claim on an idempotency key; docs/AT-MOST-ONCE.md explains claims.
 
 use std::net::SocketAddr;
 
@@ -8,34 +8,34 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What became of a claimed request, as far as the row tells.
+/// The state of a claimed request as recorded in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
-    /// Its owner holds it; only the owner knows more.
+    /// The claim is held; only its owner knows how far the request has got.
     Claimed,
-    /// It ran and this is its answer.
+    /// The request ran and got this answer.
     Done(KeptAnswer),
-    /// It ran, and its answer is too large to keep.
+    /// The request ran, but its answer is too large to keep.
     #[serde(rename = "unkept")]
     NotKept,
-    /// It was sent to a minion and its answer is lost.
+    /// The request was sent to a minion and its answer is lost.
     Lost,
 }
 
-/// A claim.
+/// A claim on an idempotency key by one attempt to run the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// The attempt that may run.
     pub attempt: AttemptId,
-    /// What the request asked for.
+    /// Digest of the request, which detects reuse of the key for another request.
     pub fingerprint: Fingerprint,
     /// The entry host that makes the attempt.
     pub host: HostId,
-    /// The start of the entry process that makes it.
+    /// The incarnation of the entry process that makes the attempt.
     pub incarnation: Incarnation,
-    /// Where that process answers other entry hosts.
+    /// The address on which that process answers other entry hosts.
     pub entry: SocketAddr,
-    /// What became of it.
+    /// The state of the request.
     pub state: ClaimState,
 }
--- a/reachhead_store/src/config/change.rs
+++ b/reachhead_store/src/config/change.rs
@@ -1,4 +1,4 @@
-//! Making a change: one transaction, safe to repeat after a lost answer.
+//! Configuration changes: one transaction each, safe to repeat after a lost answer.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -25,16 +25,16 @@
     row::{Check, Commit, Scan, Txn},
 };
 
-/// Times that a change is tried against racing changes and lost answers.
-const TRY_LIMIT: u32 = 12;
+/// Attempts of a change that loses races against other changes or whose answers are lost.
+const MAX_ATTEMPTS: u32 = 12;
 
-/// Longest first pause between two tries of a change, in milliseconds; it doubles.
-const FIRST_PAUSE: u64 = 10;
+/// Upper bound of the random pause before the second attempt; it doubles with each attempt.
+const MIN_BACKOFF_MS: u64 = 10;
 
-/// Longest pause between two tries, in milliseconds.
-const LAST_PAUSE: u64 = 500;
+/// Upper bound of the random pause between two attempts.
+const MAX_BACKOFF_MS: u64 = 500;
 
-/// Makes the changes of one operator's request, all or none, and returns their version.
+/// Applies configuration changes on behalf of one operator.
 pub struct ConfigWriter<'s> {
     store: &'s dyn Store,
     operator: OperatorName,
@@ -42,27 +42,27 @@
     at: Millis,
 }
 
-/// The rows of one attempt before and after the change.
-struct Step {
+/// The configuration before and after the change, for one attempt.
+struct PlannedChange {
     before: Fleet,
     after: Fleet,
     next: ConfigSnapshot,
 }
 
 impl<'s> ConfigWriter<'s> {
-    /// Returns a writer on behalf of `operator`; `at` is the wall clock, for people to read.
+    /// Returns a writer for `operator`; `at` is the wall-clock time to log, for display only.
     pub fn new(store: &'s dyn Store, operator: OperatorName, at: Millis) -> Self {
         Self { store, operator, scope: Scope::Tree, at }
     }
 
-    /// Limits the operator's word to `scope`.
+    /// Limits the operator's permissions to `scope`.
     #[must_use]
     pub fn with_scope(mut self, scope: Scope) -> Self {
         self.scope = scope;
         self
     }
 
-    /// Makes the change, with `snapshot` as the cache of rows that it is checked against.
+    /// Applies a change and returns its version, with `snapshot` as the cache of the current rows.
     ///
     /// # Errors
     ///
@@ -73,11 +73,11 @@
         request: &ChangeRequest,
     ) -> Result<Version, ChangeError> {
         let mut lost = None;
-        let mut pause = FIRST_PAUSE;
-        for _ in 0..TRY_LIMIT {
+        let mut pause = MIN_BACKOFF_MS;
+        for _ in 0..MAX_ATTEMPTS {
             match self.attempt(snapshot, request).await {
                 Ok(Some(version)) => return Ok(version),
-                // Another change came first; with what it changed this one is checked again.
+                // Another change came first; check this one again on the updated rows.
                 Ok(None) => {}
                 Err(ChangeError::Unknown(error)) => lost = Some(error),
                 Err(ChangeError::NotDone(error)) => match lost {
@@ -88,13 +88,13 @@
             }
             let wait = rand::rng().random_range(0..=pause);
             time::sleep(Duration::from_millis(wait)).await;
-            pause = (pause * 2).min(LAST_PAUSE);
+            pause = (pause * 2).min(MAX_BACKOFF_MS);
         }
         let busy = StoreError::NotDone("too many changes at once".to_owned());
         Err(lost.map_or(ChangeError::NotDone(busy), ChangeError::Unknown))
     }
 
-    /// Tries once; `None` means that another change came first.
+    /// Makes one attempt; returns `None` if another change came first.
     async fn attempt(
         &self,
         snapshot: &mut ConfigSnapshot,
@@ -103,7 +103,7 @@
         let keys = vec![keys::change(request.id), keys::head()];
         let rows = self.store.read(keys).await.map_err(ChangeError::NotDone)?;
         if let Some(row) = rows.first().and_then(Option::as_ref) {
-            // A repeat, or the first try's answer was lost: say what became of it.
+            // The request was applied before: it is a repeat, or the answer to an attempt was lost.
             let row: ChangeRow = row.parse().map_err(ChangeError::NotDone)?;
             return Ok(Some(row.version));
         }
@@ -113,13 +113,13 @@
             return Ok(None);
         }
         check_distinct(request)?;
-        let step = self.step(snapshot, request)?;
-        let mut txn = self.txn(snapshot, &step, request, head.revision);
-        txn.checks.extend(self.empty_pools(request).await?);
+        let planned = self.plan_change(snapshot, request)?;
+        let mut txn = self.txn(snapshot, &planned, request, head.revision);
+        txn.checks.extend(self.check_deleted_pools(request).await?);
         match self.store.commit(txn).await {
             Ok(Commit::Done(_)) => {
-                *snapshot = step.next;
-                Ok(Some(step.after.version))
+                *snapshot = planned.next;
+                Ok(Some(planned.after.version))
             }
             Ok(Commit::Conflict(_)) => Ok(None),
             Err(StoreError::Lost(text)) => Err(ChangeError::Unknown(StoreError::Lost(text))),
@@ -127,8 +127,12 @@
         }
     }
 
-    /// Makes sure that each pool that is deleted has no hosts; adding one moves the pool's head.
-    async fn empty_pools(&self, request: &ChangeRequest) -> Result<Vec<Check>, ChangeError> {
+    /// Verifies that each deleted pool has no hosts, and returns checks that keep it so until the
+    /// commit: adding a host rewrites the pool's head row.
+    async fn check_deleted_pools(
+        &self,
+        request: &ChangeRequest,
+    ) -> Result<Vec<Check>, ChangeError> {
         let mut checks = Vec::new();
         for ConfigWrite { key, value, .. } in &request.writes {
             let (RowKey::Pool(pool), None) = (key, value) else {
@@ -148,29 +152,36 @@
         Ok(checks)
     }
 
-    /// Works the change out and checks it; what the operator may not touch comes first, so that no
-    /// other fault tells of it.
-    fn step(
+    /// Applies the change to a copy of the rows and validates the result.
+    ///
+    /// Permissions are checked first, so that no other error reveals rows that the operator may not
+    /// change.
+    fn plan_change(
         &self,
         snapshot: &ConfigSnapshot,
         request: &ChangeRequest,
-    ) -> Result<Step, ChangeError> {
+    ) -> Result<PlannedChange, ChangeError> {
         let keys: Vec<RowKey> = request.writes.iter().map(|write| write.key.clone()).collect();
         let before =
             Fleet::from_rows(snapshot.version(), snapshot.rows()).map_err(ChangeError::Invalid)?;
-        self.allow(&before, &before, &keys)?;
+        self.check_scope(&before, &before, &keys)?;
         check_expected(snapshot, request)?;
         let version = snapshot.version().next();
         let mut next = snapshot.clone();
         let gap = |_| ChangeError::NotDone(StoreError::NotDone("the book moved".to_owned()));
         next.apply(&delta(snapshot, request)).map_err(gap)?;
-        let faulty = |faults| ChangeError::Invalid(self.own_faults(&before, &keys, faults));
+        let faulty = |faults| ChangeError::Invalid(self.visible_faults(&before, &keys, faults));
         let after = Fleet::from_rows(version, next.rows()).map_err(faulty)?;
-        self.allow(&before, &after, &keys)?;
-        Ok(Step { before, after, next })
+        self.check_scope(&before, &after, &keys)?;
+        Ok(PlannedChange { before, after, next })
     }
 
-    fn allow(&self, before: &Fleet, after: &Fleet, keys: &[RowKey]) -> Result<(), ChangeError> {
+    fn check_scope(
+        &self,
+        before: &Fleet,
+        after: &Fleet,
+        keys: &[RowKey],
+    ) -> Result<(), ChangeError> {
         if self.scope == Scope::Tree {
             return Ok(());
         }
@@ -181,36 +192,41 @@
         }
     }
 
-    /// Leaves out of `faults` what would tell the operator of rows that it may not read.
-    fn own_faults(&self, before: &Fleet, keys: &[RowKey], faults: Vec<RowFault>) -> Vec<RowFault> {
+    /// Replaces faults in rows that the operator may not read by a generic one.
+    fn visible_faults(
+        &self,
+        before: &Fleet,
+        keys: &[RowKey],
+        faults: Vec<RowFault>,
+    ) -> Vec<RowFault> {
         if self.scope == Scope::Tree {
             return faults;
         }
-        let is_own = |key: &RowKey| keys.contains(key) || self.scope.can_read(before, key);
-        let (mut own, others): (Vec<RowFault>, Vec<RowFault>) =
-            faults.into_iter().partition(|fault| is_own(&fault.key));
-        if let (Some(key), false) = (keys.first(), others.is_empty()) {
+        let is_visible = |key: &RowKey| keys.contains(key) || self.scope.can_read(before, key);
+        let (mut visible, hidden): (Vec<RowFault>, Vec<RowFault>) =
+            faults.into_iter().partition(|fault| is_visible(&fault.key));
+        if let (Some(key), false) = (keys.first(), hidden.is_empty()) {
             let text = "rows of other groups need what the change takes away".to_owned();
-            own.push(RowFault { key: key.clone(), text });
+            visible.push(RowFault { key: key.clone(), text });
         }
-        own
+        visible
     }
 
     fn txn(
         &self,
         snapshot: &ConfigSnapshot,
-        step: &Step,
+        planned: &PlannedChange,
         request: &ChangeRequest,
         head: Option<Revision>,
     ) -> Txn {
-        let version = step.after.version;
-        // Every change moves the head, so its revision vouches for every row.
+        let version = planned.after.version;
+        // Every change rewrites the head row, so its revision covers all configuration rows.
         let mut txn = Txn::new()
             .with_check(keys::head(), head)
             .with_check(keys::change(request.id), None)
             .with_write(keys::head(), json(&HeadRow { version }))
             .with_write(keys::change(request.id), json(&ChangeRow { version }))
-            .with_write(keys::log(version), json(&self.log(snapshot, step, request)));
+            .with_write(keys::log(version), json(&self.log_row(snapshot, planned, request)));
         for ConfigWrite { key, value, .. } in &request.writes {
             txn = txn.with_write(keys::history(key, version), json(&ChangeRow { version }));
             txn = match value.clone() {
@@ -223,15 +239,20 @@
         txn
     }
 
-    fn log(&self, snapshot: &ConfigSnapshot, step: &Step, request: &ChangeRequest) -> LogRow {
+    fn log_row(
+        &self,
+        snapshot: &ConfigSnapshot,
+        planned: &PlannedChange,
+        request: &ChangeRequest,
+    ) -> LogRow {
         let writes = request.writes.iter().map(|ConfigWrite { key, value, .. }| LoggedWrite {
             key: key.clone(),
             value: value.clone(),
             before: snapshot.get(key).cloned(),
-            reader: scope::change_reader(&step.before, &step.after, key),
+            reader: scope::change_reader(&planned.before, &planned.after, key),
         });
         LogRow {
-            version: step.after.version,
+            version: planned.after.version,
             id: request.id,
             operator: self.operator.clone(),
             at: self.at,
@@ -240,7 +261,7 @@
     }
 }
 
-/// Returns the change as what it does to `snapshot`.
+/// Returns the delta from `snapshot` to the version of the change.
 fn delta(snapshot: &ConfigSnapshot, request: &ChangeRequest) -> Delta {
     let version = snapshot.version().next();
     let changes = request.writes.iter().map(|ConfigWrite { key, value, .. }| Change {
@@ -251,12 +272,12 @@
     Delta { from: snapshot.version(), to: version, changes: changes.collect() }
 }
 
-/// Returns the JSON of a row; these types have no map whose keys JSON can't write.
+/// Returns a row as JSON; serialization can't fail, since no row has a map with non-string keys.
 fn json(row: &impl Serialize) -> Value {
     serde_json::to_value(row).unwrap_or(Value::Null)
 }
 
-/// Refuses a change that writes one row twice: which of the two was meant can't be told.
+/// Rejects a change that writes a row twice, since it is not clear which write was intended.
 fn check_distinct(request: &ChangeRequest) -> Result<(), ChangeError> {
     let mut seen = BTreeSet::new();
     let twice = request.writes.iter().filter(|write| !seen.insert(&write.key));
@@ -272,7 +293,7 @@
     }
 }
 
-/// Refuses a change of rows that another operator changed since they were read.
+/// Rejects a change if one of its rows is no longer at the version that the operator expects.
 fn check_expected(snapshot: &ConfigSnapshot, request: &ChangeRequest) -> Result<(), ChangeError> {
     let raced: Vec<RowKey> = request
         .writes
--- a/reachhead_store/src/config/follow.rs
+++ b/reachhead_store/src/config/follow.rs
@@ -1,4 +1,4 @@
-//! Following the configuration: deltas from the log, or all rows.
+//! Reads of configuration updates: deltas from the log, or a full snapshot.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,22 +14,22 @@
     row::{Row, Scan},
 };
 
-/// Versions that a follower catches up by reading the log; further behind, it reads all rows.
-const LOG_LIMIT: u32 = 64;
+/// Maximum lag, in versions, at which a follower reads the log; further behind, it reads all rows.
+const MAX_LOG_VERSIONS: u32 = 64;
 
-/// Rows that one scan returns.
+/// Maximum number of rows that one scan returns.
 const PAGE_SIZE: u32 = 250;
 
-/// What a follower lacks.
+/// An update that brings a follower to the newest version.
 #[derive(Debug)]
 pub enum ConfigUpdate {
-    /// The changes after its version.
+    /// The changes after the follower's version.
     Delta(Delta),
-    /// Everything, since the log does not reach back so far.
+    /// All rows, because the follower is too far behind to read the log.
     Snapshot(ConfigSnapshot),
 }
 
-/// Returns what a follower at version `have` lacks, or `None` if that is the newest.
+/// Returns the update for a follower at version `have`, or `None` if that is the newest version.
 ///
 /// # Errors
 ///
@@ -39,30 +39,30 @@
     if head.version <= have {
         return Ok(None);
     }
-    let delta = match head.version.0 - have.0 <= u64::from(LOG_LIMIT) {
+    let delta = match head.version.0 - have.0 <= u64::from(MAX_LOG_VERSIONS) {
         true => read_log(store, have).await?,
         false => None,
     };
     match delta {
         Some(delta) if delta.to >= head.version => Ok(Some(ConfigUpdate::Delta(delta))),
-        // The log does not reach from here to there.
-        _ => read_whole(store, head.version)
+        // The follower is too far behind, or the log lacks some of the versions in between.
+        _ => read_snapshot(store, head.version)
             .await
             .map(|snapshot| Some(ConfigUpdate::Snapshot(snapshot))),
     }
 }
 
-/// Brings `snapshot` up to the newest version and tells whether it went up.
+/// Updates `snapshot` to the newest version and returns whether its version changed.
 ///
 /// # Errors
 ///
-/// Any [`StoreError`]; the book is then as it was.
+/// Any [`StoreError`]; the snapshot is then unchanged.
 pub async fn follow(store: &dyn Store, snapshot: &mut ConfigSnapshot) -> Result<bool, StoreError> {
     match fetch(store, snapshot.version()).await? {
         None => Ok(false),
         Some(ConfigUpdate::Delta(delta)) => snapshot.apply(&delta).map_err(|gap| gap_error(&gap)),
-        Some(ConfigUpdate::Snapshot(whole)) => {
-            *snapshot = whole;
+        Some(ConfigUpdate::Snapshot(newest)) => {
+            *snapshot = newest;
             Ok(true)
         }
     }
@@ -88,12 +88,12 @@
     }
 }
 
-/// Returns the changes after `have`, or `None` if the log does not reach back so far.
+/// Returns the logged changes after `have`, or `None` if the log lacks one of the versions.
 async fn read_log(store: &dyn Store, have: Version) -> Result<Option<Delta>, StoreError> {
     let scan = Scan {
         prefix: keys::LOG_PREFIX.to_owned(),
         after: Some(keys::log(have)),
-        limit: LOG_LIMIT,
+        limit: MAX_LOG_VERSIONS,
     };
     let page = store.scan(scan).await?;
     let mut changes = BTreeMap::new();
@@ -112,8 +112,10 @@
     Ok(Some(Delta { from: have, to, changes: changes.into_values().collect() }))
 }
 
-/// Reads all rows; pages of different moments are made one version by the log.
-async fn read_whole(store: &dyn Store, before: Version) -> Result<ConfigSnapshot, StoreError> {
+/// Reads all rows as a snapshot of version `before` or a newer one.
+///
+/// The pages may be of different revisions; the log from `before` on brings them to one version.
+async fn read_snapshot(store: &dyn Store, before: Version) -> Result<ConfigSnapshot, StoreError> {
     let mut changes = Vec::new();
     let mut after = None;
     loop {
@@ -134,8 +136,8 @@
             break;
         }
     }
-    // The rows hold at least version `before`, some maybe newer; whole writes make it safe to
-    // apply the log from `before` on over them.
+    // All rows are at version `before` or newer. Each change replaces the whole value of a row, so it
+    // is safe to apply the log from `before` on to rows that include some of it already.
     let mut snapshot = ConfigSnapshot::new();
     let whole = Delta { from: Version(0), to: before, changes };
     snapshot.apply(&whole).map_err(|gap| gap_error(&gap))?;
--- a/reachhead_store/src/config/history.rs
+++ b/reachhead_store/src/config/history.rs
@@ -1,7 +1,7 @@
-//! What was changed, by whom and when; what differs between two versions; and undoing a change.
+//! The history of configuration changes: the log, differences between versions, and undo.
 //!
-//! The log has a row for each version, and an index leads from each configuration row to the
-//! versions that wrote it, so neither question reads more than it answers.
+//! The log has one row per version, and an index maps each configuration row to the versions that
+//! wrote it, so queries read only rows that they return.
 
 use std::collections::BTreeMap;
 
@@ -21,31 +21,32 @@
     row::{Key, Row, Scan, Txn},
 };
 
-/// Versions that one call returns at most.
+/// Maximum number of versions that one call returns.
 pub const PAGE_LIMIT: u32 = 100;
 
-/// Versions between which a difference is worked out at most; a day has about 13,000.
+/// Maximum number of versions that a difference may span; a day has about 13,000.
 pub const DIFF_LIMIT: u64 = 20_000;
 
-/// Versions that one transaction cuts off the log.
-const CUT_SIZE: u32 = 50;
+/// Number of versions that one transaction removes from the log.
+const TRUNCATE_BATCH: u32 = 50;
 
-/// One write of one row, as its history tells it.
+/// One write of a configuration row in its history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowEvent {
-    /// The version that wrote it.
+    /// The version that wrote the row.
     pub version: Version,
-    /// The change.
+    /// The id of the change.
     pub id: ChangeId,
-    /// Who asked for it.
+    /// The operator who requested the change.
     pub operator: OperatorName,
-    /// When, in milliseconds since the Unix epoch by the admin host's clock; only for people.
+    /// Time of the change in milliseconds since the Unix epoch by the admin host's clock; for display
+    /// only.
     pub at: Millis,
-    /// The value before; `None` where there was no such row.
+    /// The previous value; `None` if there was no such row.
     pub before: Option<Value>,
-    /// The value after; `None` is a deletion.
+    /// The new value; `None` for a deletion.
     pub value: Option<Value>,
-    /// Whose operators may read this.
+    /// The owner whose operators may read this event.
     pub reader: Owner,
 }
 
@@ -54,13 +55,13 @@
 pub struct RowDiff {
     /// The row.
     pub key: RowKey,
-    /// Its value at the earlier version; `None` where there was no such row.
+    /// The value at the earlier version; `None` if the row did not exist.
     pub before: Option<Value>,
-    /// Its value at the later version; `None` where there is none.
+    /// The value at the later version; `None` if the row does not exist.
     pub after: Option<Value>,
 }
 
-/// Returns the changes after version `after`, [`PAGE_LIMIT`] at most.
+/// Returns the changes after version `after`, at most [`PAGE_LIMIT`].
 ///
 /// # Errors
 ///
@@ -74,7 +75,7 @@
     store.scan(scan).await?.rows.iter().map(Row::parse).collect()
 }
 
-/// Returns the writes of the row of `key` after version `after`, [`PAGE_LIMIT`] at most.
+/// Returns the writes of the row of `key` after version `after`, at most [`PAGE_LIMIT`].
 ///
 /// # Errors
 ///
@@ -104,13 +105,14 @@
     Some(RowEvent { version, id, operator, at, before, value, reader })
 }
 
-/// Returns the rows that differ between versions `from` and `to`, in the order of their keys, as far
-/// as `may_read` lets their writes be read.
+/// Returns the rows that differ between versions `from` and `to`, in key order.
+///
+/// Only writes for which `may_read` returns true are taken into account.
 ///
 /// # Errors
 ///
-/// `Refused` if there are more than [`DIFF_LIMIT`] versions between them or the log does not have
-/// all of them.
+/// Any [`StoreError`]; `Refused` if more than [`DIFF_LIMIT`] versions lie between the two or the log
+/// lacks one of them.
 pub async fn diff(
     store: &dyn Store,
     from: Version,
@@ -132,7 +134,7 @@
             }
             reached = log.version;
             for write in log.writes.into_iter().filter(&may_read) {
-                note(&mut differing, write);
+                merge_write(&mut differing, write);
             }
         }
         if reached < next {
@@ -142,13 +144,13 @@
     Ok(differing.into_values().filter(|row| row.before != row.after).collect())
 }
 
-fn note(differing: &mut BTreeMap<RowKey, RowDiff>, write: LoggedWrite) {
+fn merge_write(differing: &mut BTreeMap<RowKey, RowDiff>, write: LoggedWrite) {
     let key = write.key.clone();
     let first = RowDiff { key: key.clone(), before: write.before, after: None };
     differing.entry(key).or_insert(first).after = write.value;
 }
 
-/// Returns the change that became `version`, or `None` if there is no such version.
+/// Returns the logged change of `version`, or `None` if the log has no such version.
 ///
 /// # Errors
 ///
@@ -158,25 +160,28 @@
     rows.first().and_then(Option::as_ref).map(Row::parse).transpose()
 }
 
-/// Returns the change `id` that undoes what `log` tells; it is refused, as any change is, if one of
-/// the rows was written since.
+/// Returns a request with the id `id` that undoes the logged change.
+///
+/// Like any change it is rejected if one of its rows was written since.
 pub fn undo(id: ChangeId, log: LogRow) -> ChangeRequest {
     let version = log.version;
     let writes = log.writes.into_iter().map(|write| ConfigWrite {
         key: write.key,
-        // A row that the change deleted must still be absent.
+        // A row that the change deleted must still be absent, which is version 0.
         expected: Some(write.value.map_or(Version(0), |_| version)),
         value: write.before,
     });
     ChangeRequest { id, writes: writes.collect() }
 }
 
-/// Cuts versions off the log so that `keep` are left, [`CUT_SIZE`] at most, and returns how many it
-/// was. Their change ids go with them: a change that is repeated after that many others is a new one.
+/// Removes the oldest versions from the log so that `keep` remain, and returns how many it removed.
+///
+/// One call removes at most [`TRUNCATE_BATCH`] versions. Their change ids are removed too: a request
+/// that is repeated after `keep` other changes counts as a new one.
 ///
 /// # Errors
 ///
-/// Any [`StoreError`]; what was cut stays cut, and the same again goes on.
+/// Any [`StoreError`]; the call may be repeated to continue.
 pub async fn truncate_log(
     store: &dyn Store,
     newest: Version,
@@ -184,7 +189,7 @@
 ) -> Result<usize, StoreError> {
     let bound = Version(newest.0.saturating_sub(keep));
     let prefix = keys::LOG_PREFIX.to_owned();
-    let page = store.scan(Scan { prefix, after: None, limit: CUT_SIZE }).await?;
+    let page = store.scan(Scan { prefix, after: None, limit: TRUNCATE_BATCH }).await?;
     let logs: Result<Vec<LogRow>, StoreError> = page.rows.iter().map(Row::parse).collect();
     let old: Vec<LogRow> = logs?.into_iter().take_while(|log| log.version <= bound).collect();
     if old.is_empty() {
--- a/reachhead_store/src/config/mod.rs
+++ b/reachhead_store/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration in the store: following it, changing it by one transaction a change, and its
-//! history.
+//! The configuration in the store: reading updates, making changes, and the history of changes.
 //!
-//! docs/CONFIGURATION.md gives the rows and why a change with a lost answer is safe to repeat.
+//! Each change is one transaction. docs/CONFIGURATION.md describes the rows and why a change whose
+//! answer was lost is safe to repeat.
 
 mod change;
 mod follow;
@@ -25,16 +25,16 @@
 /// The row of [`keys::head`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// The newest version.
+    /// The newest version of the configuration.
     pub version: Version,
 }
 
-/// A configuration row as the store keeps it.
+/// A configuration row as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRow {
-    /// The version that wrote it.
+    /// The version that wrote the row.
     pub version: Version,
-    /// Its value.
+    /// The row's value.
     pub value: Value,
 }
 
@@ -44,22 +44,22 @@
 pub struct ConfigWrite {
     /// The row.
     pub key: RowKey,
-    /// Its new value; `None` deletes it.
+    /// The new value; `None` deletes the row.
     #[serde(default)]
     pub value: Option<Value>,
-    /// The version that the operator saw the row at, 0 for no row; `None` overwrites whatever is
-    /// there.
+    /// The version of the row that the operator has seen, 0 for no row; `None` overwrites any
+    /// version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected: Option<Version>,
 }
 
-/// A change as an operator asks for it.
+/// An operator's request to change the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// Drawn by the client; a second request with the same id changes nothing more.
+    /// Drawn by the client; makes the request idempotent.
     pub id: ChangeId,
-    /// The writes, all or none.
+    /// The writes, which are applied atomically.
     pub writes: Vec<ConfigWrite>,
 }
 
@@ -68,27 +68,28 @@
 pub struct LogRow {
     /// The version that the change became.
     pub version: Version,
-    /// The change.
+    /// The id of the change.
     pub id: ChangeId,
-    /// Who asked for it.
+    /// The operator who requested it.
     pub operator: OperatorName,
-    /// When, in milliseconds since the Unix epoch by the admin host's clock; only for people.
+    /// Time of the change in milliseconds since the Unix epoch by the admin host's clock; for display
+    /// only.
     pub at: Millis,
-    /// What it wrote.
+    /// The writes of the change.
     pub writes: Vec<LoggedWrite>,
 }
 
-/// One write as the log keeps it.
+/// One write of a change as logged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoggedWrite {
     /// The row.
     pub key: RowKey,
-    /// Its new value; `None` deleted it.
+    /// The new value; `None` for a deletion.
     pub value: Option<Value>,
-    /// Its value before; `None` where there was no such row. An undo writes this.
+    /// The previous value, which an undo restores; `None` if there was no such row.
     #[serde(default)]
     pub before: Option<Value>,
-    /// Whose operators may read this write.
+    /// The owner whose operators may read this write.
     #[serde(default = "whole_tree")]
     pub reader: Owner,
 }
@@ -104,22 +105,22 @@
     pub version: Version,
 }
 
-/// Why a change was not accepted.
+/// An error of a configuration change.
 #[derive(Debug, Error)]
 pub enum ChangeError {
-    /// The rows would have faults.
+    /// The changed rows would be invalid.
     #[error("{} fault(s)", .0.len())]
     Invalid(Vec<RowFault>),
-    /// Another operator changed these rows since they were read.
+    /// These rows were changed since the operator read them.
     #[error("changed since they were read: {0:?}")]
     Raced(Vec<RowKey>),
-    /// These rows need the word of operators of other groups.
+    /// These rows may only be changed by operators of other groups or of the whole tree.
     #[error("outside the operator's scope: {0:?}")]
     Forbidden(Vec<RowKey>),
-    /// The store did not take it; nothing changed.
+    /// The store did not apply the change; nothing changed.
     #[error("nothing changed: {0}")]
     NotDone(StoreError),
-    /// Its answer is lost; asking again with the same id is safe.
+    /// The store's answer is lost; the request may be repeated with the same id.
     #[error("it may have been accepted, ask again with the same id: {0}")]
     Unknown(StoreError),
 }
--- a/reachhead_store/src/guarded.rs
+++ b/reachhead_store/src/guarded.rs
@@ -1,4 +1,6 @@
-//! A store behind [`Breaker`]s, so that an outage fails calls at once and no process floods it.
+//! A store wrapper with rate limit, circuit breakers and adaptive timeouts.
+//!
+//! During an outage calls fail at once, and no process floods the store.
 
 use std::{
     collections::BTreeMap,
@@ -16,40 +18,43 @@
     row::{Commit, Key, Page, Row, Scan, Txn},
 };
 
-/// Returns the part of the store that a key, or the beginning of one, lies in.
+/// Returns the partition of the store that a key or key prefix belongs to.
 pub type PartitionOf = fn(&str) -> &str;
 
-/// A store whose calls are limited in rate and fail at once while it is down.
+/// A store whose calls are rate-limited and fail at once while it is down.
 pub struct GuardedStore<S> {
     inner: Arc<S>,
-    gates: Arc<Mutex<Gates>>,
-    part_of: PartitionOf,
+    breakers: Arc<Mutex<Breakers>>,
+    partition_of: PartitionOf,
 }
 
-/// A breaker for the whole store, which limits the rate and notices when nothing is answered any more, and one for each
-/// part, which notices failures. A part has few calls at once: one of them without an answer does not tell that it stalls.
-struct Gates {
+/// The breakers and adaptive timeouts of a store.
+///
+/// The breaker of the whole store limits the rate and detects stalls. The breakers of the partitions
+/// detect failures only: a partition has few calls in flight, so one call without an answer does not
+/// show a stall.
+struct Breakers {
     whole: Breaker,
     adaptive_timeouts: Option<AdaptiveTimeouts>,
-    longest: Duration,
-    parts: BTreeMap<String, Breaker>,
+    max_probe_pause: Duration,
+    partitions: BTreeMap<String, Breaker>,
 }
 
-impl Gates {
-    fn part(&mut self, part: &str) -> &mut Breaker {
-        if !self.parts.contains_key(part) {
-            let breaker = Breaker::unlimited(now()).with_max_probe_pause(self.longest);
-            self.parts.insert(part.to_owned(), breaker);
+impl Breakers {
+    fn partition(&mut self, partition: &str) -> &mut Breaker {
+        if !self.partitions.contains_key(partition) {
+            let breaker = Breaker::unlimited(now()).with_max_probe_pause(self.max_probe_pause);
+            self.partitions.insert(partition.to_owned(), breaker);
         }
-        self.parts.get_mut(part).unwrap_or_else(|| unreachable!("it was just put there"))
+        self.partitions.get_mut(partition).unwrap_or_else(|| unreachable!("inserted above"))
     }
 
     fn adaptive_timeout(&mut self, kind: CallKind) -> Option<&mut AdaptiveTimeout> {
         self.adaptive_timeouts.as_mut().map(|adaptive_timeouts| adaptive_timeouts.for_kind(kind))
     }
 
-    fn admit(&mut self, part: &str, now: Instant) -> Admission {
-        match self.part(part).admit(now) {
+    fn admit(&mut self, partition: &str, now: Instant) -> Admission {
+        match self.partition(partition).admit(now) {
             Admission::Down => Admission::Down,
             _ => self.whole.admit(now),
         }
@@ -60,58 +65,63 @@
     time::Instant::now().into_std()
 }
 
-fn locked(gates: &Mutex<Gates>) -> MutexGuard<'_, Gates> {
-    gates.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_breakers(breakers: &Mutex<Breakers>) -> MutexGuard<'_, Breakers> {
+    breakers.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<S: Store + 'static> GuardedStore<S> {
-    /// Returns `inner` limited to `rate` calls a second.
+    /// Wraps `inner` and limits it to `rate` calls per second.
     pub fn new(inner: S, rate: u32) -> Self {
-        let gates = Gates {
+        let breakers = Breakers {
             whole: Breaker::new(rate, now()),
             adaptive_timeouts: None,
-            longest: MAX_PROBE_PAUSE,
-            parts: BTreeMap::new(),
+            max_probe_pause: MAX_PROBE_PAUSE,
+            partitions: BTreeMap::new(),
         };
-        Self { inner: Arc::new(inner), gates: Arc::new(Mutex::new(gates)), part_of: |_| "" }
+        Self {
+            inner: Arc::new(inner),
+            breakers: Arc::new(Mutex::new(breakers)),
+            partition_of: |_| "",
+        }
     }
 
-    /// Gives each part of the store a breaker of its own: a part that is away must not close the others, of which the pools
-    /// that lie there know nothing.
+    /// Gives each partition of the store a breaker of its own, so that an unavailable partition does
+    /// not block the pools whose rows are in other partitions.
     #[must_use]
-    pub fn with_partitions(self, part_of: PartitionOf) -> Self {
-        Self { part_of, ..self }
+    pub fn with_partitions(self, partition_of: PartitionOf) -> Self {
+        Self { partition_of, ..self }
     }
 
-    /// Gives calls up whose answers take much longer than usual: callers that may ask again are told sooner.
+    /// Enables adaptive timeouts: calls that take much longer than usual fail early, so that callers
+    /// can retry sooner.
     #[must_use]
     pub fn with_adaptive_timeouts(self) -> Self {
-        locked(&self.gates).adaptive_timeouts = Some(AdaptiveTimeouts::default());
+        lock_breakers(&self.breakers).adaptive_timeouts = Some(AdaptiveTimeouts::default());
         self
     }
 
-    /// Sets the longest pause between two probes of a part that is away.
+    /// Sets the longest pause between two probes of an unavailable partition.
     #[must_use]
-    pub fn with_max_probe_pause(self, longest: Duration) -> Self {
-        locked(&self.gates).longest = longest;
+    pub fn with_max_probe_pause(self, max_probe_pause: Duration) -> Self {
+        lock_breakers(&self.breakers).max_probe_pause = max_probe_pause;
         self
     }
 
-    /// Tells whether a part of the store is taken for down.
+    /// Returns whether the breaker of any partition is open.
     pub fn is_down(&self) -> bool {
-        locked(&self.gates).parts.values().any(Breaker::is_down)
+        lock_breakers(&self.breakers).partitions.values().any(Breaker::is_down)
     }
 
-    /// Makes a call in the part of `key`, unless the store is down or has too much to do.
+    /// Makes a call to the partition of `key`, unless the store is down or the rate limit is exceeded.
     async fn call<T: Send + 'static>(
         &self,
         key: &str,
         kind: CallKind,
         call: impl FnOnce(Arc<S>) -> BoxFuture<'static, Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let part = (self.part_of)(key);
-        let gate = locked(&self.gates).admit(part, now());
-        match gate {
+        let partition = (self.partition_of)(key);
+        let admission = lock_breakers(&self.breakers).admit(partition, now());
+        match admission {
             Admission::Proceed => {}
             Admission::Wait(wait) => time::sleep(wait).await,
             Admission::RateLimited => {
@@ -119,76 +129,79 @@
             }
             Admission::Down => return Err(StoreError::NotDone("the store is down".to_owned())),
         }
-        let open = Open::new(Arc::clone(&self.gates), part, kind);
-        let (probing, adaptive_timeout) = {
-            let mut gates = locked(&self.gates);
-            let probing = gates.part(part).is_probing() || gates.whole.is_probing();
+        let in_flight = CallInFlight::new(Arc::clone(&self.breakers), partition, kind);
+        let (is_probe, call_timeout) = {
+            let mut breakers = lock_breakers(&self.breakers);
+            let is_probe =
+                breakers.partition(partition).is_probing() || breakers.whole.is_probing();
             (
-                probing,
-                gates
+                is_probe,
+                breakers
                     .adaptive_timeout(kind)
                     .map_or(Duration::MAX, |adaptive_timeout| adaptive_timeout.current()),
             )
         };
         let call = call(Arc::clone(&self.inner));
-        let noted = async move {
-            let Ok(result) = time::timeout(adaptive_timeout, call).await else {
-                if let Some(adaptive_timeout) = locked(&open.gates).adaptive_timeout(kind) {
+        let recorded_call = async move {
+            let Ok(result) = time::timeout(call_timeout, call).await else {
+                if let Some(adaptive_timeout) =
+                    lock_breakers(&in_flight.breakers).adaptive_timeout(kind)
+                {
                     adaptive_timeout.record_timeout();
                 }
                 return Err(StoreError::Lost("no answer in the usual time".to_owned()));
             };
-            open.note(&result);
+            in_flight.record(&result);
             result
         };
-        if !probing {
-            return noted.await;
+        if !is_probe {
+            return recorded_call.await;
         }
-        // A caller that gives up, since another of its calls failed, must not take the probe with it: the breaker would
-        // stay open for good, and turn away all others.
-        tokio::spawn(noted).await.map_err(|error| StoreError::Lost(error.to_string()))?
+        // A probe runs in a task of its own, since its caller may drop the call when another of its
+        // calls fails. Without the result of the probe the breaker would stay open for ever.
+        tokio::spawn(recorded_call).await.map_err(|error| StoreError::Lost(error.to_string()))?
     }
 }
 
-/// A call that is under way; one that nobody waits for any more ends with it.
-struct Open {
-    gates: Arc<Mutex<Gates>>,
-    part: String,
+/// A call in flight; dropping it ends the call in the breaker, also when the caller stops waiting.
+struct CallInFlight {
+    breakers: Arc<Mutex<Breakers>>,
+    partition: String,
     kind: CallKind,
-    begun: Instant,
+    started: Instant,
     number: u64,
 }
 
-impl Open {
-    fn new(gates: Arc<Mutex<Gates>>, part: &str, kind: CallKind) -> Self {
-        let begun = now();
-        let number = locked(&gates).whole.start_call(begun);
-        Self { gates, part: part.to_owned(), kind, begun, number }
+impl CallInFlight {
+    fn new(breakers: Arc<Mutex<Breakers>>, partition: &str, kind: CallKind) -> Self {
+        let started = now();
+        let number = lock_breakers(&breakers).whole.start_call(started);
+        Self { breakers, partition: partition.to_owned(), kind, started, number }
     }
 
-    fn note<T>(&self, result: &Result<T, StoreError>) {
+    fn record<T>(&self, result: &Result<T, StoreError>) {
         let now = now();
-        let mut gates = locked(&self.gates);
+        let mut breakers = lock_breakers(&self.breakers);
         if matches!(result, Ok(_) | Err(StoreError::Refused(_) | StoreError::Busy(_))) {
-            gates.whole.record_success(now);
-            let took = now.saturating_duration_since(self.begun);
-            if let Some(adaptive_timeout) = gates.adaptive_timeout(self.kind) {
-                adaptive_timeout.record_answer(took);
+            breakers.whole.record_success(now);
+            let latency = now.saturating_duration_since(self.started);
+            if let Some(adaptive_timeout) = breakers.adaptive_timeout(self.kind) {
+                adaptive_timeout.record_answer(latency);
             }
         }
-        let breaker = gates.part(&self.part);
+        let breaker = breakers.partition(&self.partition);
         match result {
             Ok(_) | Err(StoreError::Refused(_)) => breaker.record_success(now),
-            // It answers at once, so nobody is kept waiting by asking it.
+            // A busy store answers at once, so further calls delay no caller.
             Err(StoreError::Busy(_)) => {}
             Err(_) => breaker.record_failure(now, rand::random()),
         }
     }
 }
 
-impl Drop for Open {
+impl Drop for CallInFlight {
     fn drop(&mut self) {
-        locked(&self.gates).whole.end_call(self.number);
+        lock_breakers(&self.breakers).whole.end_call(self.number);
     }
 }
 
--- a/reachhead_store/src/hosts.rs
+++ b/reachhead_store/src/hosts.rs
@@ -1,7 +1,7 @@
-//! What operators do with hosts: adding, moving, removing, listing.
+//! Reads and changes of hosts and their pools.
 //!
-//! Each is one transaction that also moves the head of the pools it touches, so that their owner
-//! looks again; docs/POOLS.md has the rows.
+//! Each change is one transaction that also rewrites the head row of the pools concerned, so that
+//! their owners read them again; docs/POOLS.md describes the rows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,16 +20,16 @@
     row::{Commit, Key, Row, Scan, Txn},
 };
 
-/// Hosts that one scan returns.
+/// Maximum number of rows that one scan returns.
 const PAGE_SIZE: u32 = 500;
 
-/// Times that a call is tried against racing writes of the same host.
-const TRY_LIMIT: u32 = 8;
+/// Attempts of an action that loses races against other writes of the same host.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// Why a call on hosts was not carried out.
+/// An error of an action on hosts.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// The host is there already, otherwise described.
+    /// The host exists already with another row.
     #[error("there is a host {0} already")]
     Exists(HostId),
     /// There is no such host.
@@ -38,18 +38,18 @@
     /// There is no such pool.
     #[error("there is no pool {0}")]
     NoPool(PoolName),
-    /// The host is on its way from one pool to another.
+    /// The host is being moved to another pool or is not serving.
     #[error("host {0} is on its way to another pool; take that back first")]
     Moving(HostId),
-    /// Others kept changing the same host.
+    /// Each attempt lost a race against another change of the same host.
     #[error("too many changes of this host at once; nothing changed")]
     Raced,
-    /// The store failed; the call may be repeated.
+    /// The store failed; the action may be repeated.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// A host with its row and the revision at which the row was read.
+/// A host with its row and the revision of that row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// The host.
@@ -60,13 +60,13 @@
     pub revision: Revision,
 }
 
-/// Adds a host to the pool that `row` names; the same again changes nothing.
+/// Adds a host to the pool that `row` names; does nothing if it is there already with the same row.
 ///
 /// # Errors
 ///
 /// Any [`HostError`].
 pub async fn add(store: &dyn Store, id: &HostId, row: &HostRow) -> Result<(), HostError> {
-    for _ in 0..TRY_LIMIT {
+    for _ in 0..MAX_ATTEMPTS {
         match find(store, id).await {
             Ok(host) if host.row == *row => return Ok(()),
             Ok(_) => return Err(HostError::Exists(id.clone())),
@@ -74,7 +74,7 @@
             Err(error) => return Err(error),
         }
         let pool = read_pool(store, &row.pool).await?;
-        let txn = pool_check(Txn::new(), &row.pool, pool)
+        let txn = with_pool_check(Txn::new(), &row.pool, pool)
             .with_check(keys::host(id), None)
             .with_write(keys::host(id), json(row))
             .with_write(keys::pool_host(&row.pool, id), json!({}))
@@ -86,7 +86,7 @@
     Err(HostError::Raced)
 }
 
-/// Asks for `id` to be moved to the pool `to`; `None` takes that back, as far as it was not done.
+/// Requests that `id` be moved to the pool `to`; `None` cancels a move that is not done yet.
 ///
 /// # Errors
 ///
@@ -96,11 +96,11 @@
     id: &HostId,
     to: Option<&PoolName>,
 ) -> Result<HostRow, HostError> {
-    for _ in 0..TRY_LIMIT {
+    for _ in 0..MAX_ATTEMPTS {
         let host = find(store, id).await?;
         let mut txn = Txn::new();
         if let Some(to) = to {
-            txn = pool_check(txn, to, read_pool(store, to).await?);
+            txn = with_pool_check(txn, to, read_pool(store, to).await?);
         }
         let target_pool = to.filter(|to| **to != host.row.pool).cloned();
         if target_pool == host.row.target_pool {
@@ -118,13 +118,13 @@
     Err(HostError::Raced)
 }
 
-/// Takes a host that is not on its way out of its pool and forgets it.
+/// Removes a serving host that is not being moved; does nothing if there is no such host.
 ///
 /// # Errors
 ///
 /// Any [`HostError`].
 pub async fn remove(store: &dyn Store, id: &HostId) -> Result<(), HostError> {
-    for _ in 0..TRY_LIMIT {
+    for _ in 0..MAX_ATTEMPTS {
         let host = match find(store, id).await {
             Err(HostError::Missing(_)) => return Ok(()),
             found => found?,
@@ -156,7 +156,7 @@
     Ok(Host { id: id.clone(), row: row.parse()?, revision: row.revision })
 }
 
-/// Returns the hosts of `pool` in the order of their names.
+/// Returns the hosts of `pool`, ordered by name.
 ///
 /// # Errors
 ///
@@ -166,8 +166,10 @@
     Ok(pools.into_values().next().unwrap_or_default())
 }
 
-/// Returns the hosts of each of `pools`, in the order of their names. All rows are of one moment: hosts of several pools share
-/// budgets, and read one pool after the other they could look more spent than they ever were.
+/// Returns the hosts of each of `pools`, ordered by name.
+///
+/// All rows are read at one revision. Hosts of several pools share availability budgets, and if the
+/// pools were read one after the other a budget could look more spent than it ever was.
 ///
 /// # Errors
 ///
@@ -178,7 +180,7 @@
 ) -> Result<BTreeMap<PoolName, Vec<Host>>, StoreError> {
     let mut names = BTreeSet::new();
     for pool in pools {
-        names.append(&mut names_in(store, pool).await?);
+        names.append(&mut host_names(store, pool).await?);
     }
     let names: Vec<HostId> = names.into_iter().collect();
     let rows = store.read(names.iter().map(keys::host).collect()).await?;
@@ -187,7 +189,7 @@
     for (id, row) in names.into_iter().zip(rows) {
         let Some(row) = row else { continue };
         let host = Host { id, row: row.parse()?, revision: row.revision };
-        // Since the names were read it may have moved on; its new pool's owner looks after it.
+        // The host may have moved since the names were read; the owner of its new pool handles it.
         if let Some(hosts) = found.get_mut(&host.row.pool) {
             hosts.push(host);
         }
@@ -195,7 +197,7 @@
     Ok(found)
 }
 
-async fn names_in(store: &dyn Store, pool: &PoolName) -> Result<BTreeSet<HostId>, StoreError> {
+async fn host_names(store: &dyn Store, pool: &PoolName) -> Result<BTreeSet<HostId>, StoreError> {
     let prefix = keys::pool_hosts(pool);
     let mut names = BTreeSet::new();
     let mut after = None;
@@ -203,7 +205,7 @@
         let scan = Scan { prefix: prefix.clone(), after: after.take(), limit: PAGE_SIZE };
         let page = store.scan(scan).await?;
         for row in &page.rows {
-            names.insert(name(&row.key, &prefix)?);
+            names.insert(parse_host(&row.key, &prefix)?);
         }
         after = page.rows.last().map(|row| row.key.clone());
         if !page.more {
@@ -212,7 +214,7 @@
     }
 }
 
-/// Returns all hosts in the order of their names.
+/// Returns all hosts, ordered by name.
 ///
 /// # Errors
 ///
@@ -224,7 +226,7 @@
         let prefix = keys::HOST_PREFIX.to_owned();
         let page = store.scan(Scan { prefix, after: after.take(), limit: PAGE_SIZE }).await?;
         for row in &page.rows {
-            let id = name(&row.key, keys::HOST_PREFIX)?;
+            let id = parse_host(&row.key, keys::HOST_PREFIX)?;
             hosts.push(Host { id, row: row.parse()?, revision: row.revision });
         }
         after = page.rows.last().map(|row| row.key.clone());
@@ -234,10 +236,10 @@
     }
 }
 
-/// Moves an empty host to the pool `to`, on the word of the owner of the pool that it is in.
+/// Moves an empty host to the pool `to` on behalf of its current pool's owner.
 ///
-/// The lease's revision is a precondition, so an owner that was paused moves nothing. Returns whether
-/// it moved.
+/// Returns whether the host moved. The revision of the owner's `lease` is a precondition, so an owner
+/// that was paused and has lost its lease moves nothing.
 ///
 /// # Errors
 ///
@@ -257,7 +259,7 @@
         ..host.row.clone()
     };
     let pool = read_pool(store, to).await?;
-    let txn = pool_check(Txn::new(), to, pool)
+    let txn = with_pool_check(Txn::new(), to, pool)
         .with_check(keys::lease(from), Some(lease))
         .with_check(keys::host(&host.id), Some(host.revision))
         .with_write(keys::host(&host.id), json(&row))
@@ -268,9 +270,10 @@
     Ok(matches!(store.commit(txn).await?, Commit::Done(_)))
 }
 
-/// Writes a host's row within its pool, on the word of the pool's owner, with the rows of `budgets`
-/// that change with it; `None` if it is too late. The pool's head moves from `head` with it, so that the
-/// owner sees a write of its own whose answer was lost.
+/// Writes a host's row and the `budgets` that change with it, on behalf of the pool's owner.
+///
+/// Returns the new revision, or `None` if one of the rows or the lease changed meanwhile. The pool's
+/// head row is rewritten too, so that the owner notices a write of its own whose answer was lost.
 ///
 /// # Errors
 ///
@@ -300,27 +303,27 @@
     }
 }
 
-/// What fences an owner's writes: the rows must be as it has read them.
+/// The preconditions that fence the writes of a pool's owner.
 #[derive(Debug, Clone, Copy)]
 pub struct Fence {
     /// The revision of the pool's lease.
     pub lease: Revision,
-    /// The revision of the pool's head; `None` where there is no row.
+    /// The revision of the pool's head row; `None` if there is no such row.
     pub head: Option<Revision>,
 }
 
-/// A budget's row as it should become, with the revision that it was read at.
+/// A new budget row with the revision of the row that it replaces.
 #[derive(Debug, Clone)]
 pub struct BudgetWrite {
     /// The service.
     pub service: ServiceName,
-    /// The revision; `None` where there was no row.
+    /// The revision of the old row; `None` if there was none.
     pub revision: Option<Revision>,
-    /// The row.
+    /// The new row.
     pub row: BudgetRow,
 }
 
-/// Returns the budgets of `services`, as they are spent.
+/// Returns the budget rows of `services`, in the same order.
 ///
 /// # Errors
 ///
@@ -349,12 +352,13 @@
     row.map(|row| row.revision).ok_or_else(|| HostError::NoPool(pool.clone()))
 }
 
-/// Makes sure that the pool is still there: its deletion checks in turn that it has no hosts.
-fn pool_check(txn: Txn, pool: &PoolName, revision: Revision) -> Txn {
+/// Adds the check that the pool is unchanged since it was read, so that it can't be deleted meanwhile;
+/// the deletion of a pool checks in turn that it has no hosts.
+fn with_pool_check(txn: Txn, pool: &PoolName, revision: Revision) -> Txn {
     txn.with_check(keys::config(&RowKey::Pool(pool.clone())), Some(revision))
 }
 
-fn name(key: &Key, prefix: &str) -> Result<HostId, StoreError> {
+fn parse_host(key: &Key, prefix: &str) -> Result<HostId, StoreError> {
     let text = key.0.strip_prefix(prefix).unwrap_or_default();
     text.parse().map_err(|error| StoreError::Refused(format!("key {key}: {error}")))
 }
--- a/reachhead_store/src/http.rs
+++ b/reachhead_store/src/http.rs
@@ -1,4 +1,4 @@
-//! The store over HTTP: one POST per call, bodies in JSON.
+//! An HTTP client of the platform: one POST per call, with JSON bodies.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,34 +20,34 @@
     row::{Commit, Key, Page, Row, Scan, Txn},
 };
 
-/// Path of reads.
+/// Path of [`Store::read`].
 pub const READ_PATH: &str = "/v1/read";
 
-/// Path of scans.
+/// Path of [`Store::scan`].
 pub const SCAN_PATH: &str = "/v1/scan";
 
-/// Path of transactions.
+/// Path of [`Store::commit`].
 pub const COMMIT_PATH: &str = "/v1/commit";
 
-/// Path of the host list.
+/// Path of [`HostLister::list`].
 pub const HOSTS_PATH: &str = "/v1/hosts";
 
-/// Path of how hosts are.
+/// Path of [`Platform::status`].
 pub const STATUS_PATH: &str = "/v1/hosts/status";
 
-/// Path of drains.
+/// Path of [`Platform::drain`].
 pub const DRAIN_PATH: &str = "/v1/hosts/drain";
 
-/// Path on which drains are taken back.
+/// Path of [`Platform::undrain`].
 pub const UNDRAIN_PATH: &str = "/v1/hosts/undrain";
 
-/// Path of reboots.
+/// Path of [`Platform::reboot`].
 pub const REBOOT_PATH: &str = "/v1/hosts/reboot";
 
-/// Idle connections are dropped after this long.
-const IDLE_TIME: Duration = Duration::from_secs(30);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The platform's services at an address.
+/// A client of the platform's table service, host list and host operations.
 pub struct HttpStore {
     client: Client<HttpConnector, Full<Bytes>>,
     address: SocketAddr,
@@ -55,15 +55,15 @@
 }
 
 impl HttpStore {
-    /// Returns a client of the store at `address` that waits at most `deadline` for an answer.
+    /// Returns a client of the platform at `address` that waits at most `deadline` for an answer.
     pub fn new(address: SocketAddr, deadline: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(deadline));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIME)
-            // A retry in the library would hide whether a transaction was sent.
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            // A retry inside the library would hide whether a transaction was sent.
             .retry_canceled_requests(false)
             .build(connector);
         Self { client, address, deadline }
@@ -105,7 +105,7 @@
         match status {
             StatusCode::OK => serde_json::from_slice(&body)
                 .map_err(|error| StoreError::Lost(format!("unreadable answer: {error}"))),
-            // By its protocol the store answers these only when it did nothing.
+            // The protocol defines that with these statuses the call had no effect.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
                 Err(StoreError::NotDone(status.to_string()))
             }
@@ -123,23 +123,23 @@
     }
 }
 
-/// A call to reboot a host.
+/// The body of a call to [`REBOOT_PATH`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RebootCall {
     /// The host.
     pub host: HostId,
-    /// The drain that it must be under.
+    /// The drain that must be in progress.
     pub tag: DrainTag,
-    /// How often it must have been booted so far.
+    /// The number of boots that the host must have had so far.
     pub boots: u64,
 }
 
-/// A call on one host.
+/// The body of a call to [`DRAIN_PATH`] or [`UNDRAIN_PATH`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HostCall {
     /// The host.
     pub host: HostId,
-    /// The drain that it is about.
+    /// The drain to start or end.
     pub tag: DrainTag,
 }
 
--- a/reachhead_store/src/keys.rs
+++ b/reachhead_store/src/keys.rs
@@ -1,4 +1,4 @@
-//! Every key that the system keeps in the store, in one place; docs/STORE.md explains them.
+//! The keys of all rows that the system stores; docs/STORE.md explains them.
 
 use reachhead_types::{
     fleet::RowKey,
@@ -8,100 +8,103 @@
 
 use crate::row::Key;
 
-/// What the keys of configuration rows start with.
+/// Key prefix of configuration rows.
 pub const CONFIG_PREFIX: &str = "config/row/";
 
-/// What the keys of the configuration's log start with.
+/// Key prefix of the configuration log.
 pub const LOG_PREFIX: &str = "config/log/";
 
-/// What the keys of member rows start with.
+/// Key prefix of member rows.
 pub const MEMBER_PREFIX: &str = "member/";
 
-/// What the keys of hosts start with.
+/// Key prefix of host rows.
 pub const HOST_PREFIX: &str = "host/";
 
-/// What the keys of leases start with.
+/// Key prefix of pool leases.
 pub const LEASE_PREFIX: &str = "lease/";
 
-/// What the keys of claims start with.
+/// Key prefix of claims on idempotency keys.
 pub const CLAIM_PREFIX: &str = "claim/";
 
-/// The row of the marks by which the age of claims is told.
+/// Returns the key of the row with the reference points from which the age of claims is estimated.
 pub fn claim_marks() -> Key {
     Key("claim-marks".to_owned())
 }
 
-/// The row that holds the configuration's version.
+/// Returns the key of the row with the newest configuration version.
 pub fn head() -> Key {
     Key("config/head".to_owned())
 }
 
-/// The row of a configuration row.
+/// Returns the key under which a configuration row is stored.
 pub fn config(row: &RowKey) -> Key {
     Key(format!("{CONFIG_PREFIX}{row}"))
 }
 
-/// The row that holds what a version changed; padded, so that versions sort as numbers.
+/// Returns the key of the log row of `version`, which is zero-padded so that keys sort numerically.
 pub fn log(version: Version) -> Key {
     Key(format!("{LOG_PREFIX}{:020}", version.0))
 }
 
-/// What the keys of the index of one configuration row's history start with.
+/// Returns the key prefix of the history index of a configuration row.
 pub fn history_prefix(row: &RowKey) -> String {
     format!("config/history/{row}/")
 }
 
-/// The row that tells that `version` wrote a configuration row.
+/// Returns the key of the history index entry that says that `version` wrote a configuration row.
 pub fn history(row: &RowKey, version: Version) -> Key {
     Key(format!("{}{:020}", history_prefix(row), version.0))
 }
 
-/// The row that tells which version a change became.
+/// Returns the key of the row that maps a change id to its version.
 pub fn change(id: ChangeId) -> Key {
     Key(format!("config/change/{id}"))
 }
 
-/// The row of a host.
+/// Returns the key of a host's row.
 pub fn host(host: &HostId) -> Key {
     Key(format!("{HOST_PREFIX}{host}"))
 }
 
-/// What the keys of the index of a pool's hosts start with.
+/// Returns the key prefix of the index of a pool's hosts.
 pub fn pool_hosts(pool: &PoolName) -> String {
     format!("pool-host/{pool}/")
 }
 
-/// The row that tells that a host is in a pool; it stands and falls with the host's row.
+/// Returns the key of the index entry that says that a host is in a pool.
+///
+/// The entry is written and deleted in the same transactions as the host's row.
 pub fn pool_host(pool: &PoolName, host: &HostId) -> Key {
     Key(format!("{}{host}", pool_hosts(pool)))
 }
 
-/// The row that moves whenever anyone but the pool's owner changes something of the pool.
+/// Returns the key of the row that is rewritten with each change of a pool, so that the pool's owner
+/// notices changes made by other processes.
 pub fn pool_head(pool: &PoolName) -> Key {
     Key(format!("pool-head/{pool}"))
 }
 
-/// The row of the lease of a pool.
+/// Returns the key of a pool's lease.
 pub fn lease(pool: &PoolName) -> Key {
     Key(format!("{LEASE_PREFIX}{pool}"))
 }
 
-/// The row of the wave of a pool.
+/// Returns the key of a pool's maintenance wave.
 pub fn wave(pool: &PoolName) -> Key {
     Key(format!("wave/{pool}"))
 }
 
-/// The row of what is spent of a service's availability budget.
+/// Returns the key of the row with the spent part of a service's availability budget.
 pub fn budget(service: &ServiceName) -> Key {
     Key(format!("budget/{service}"))
 }
 
-/// The row of an entry host.
+/// Returns the key of an entry host's member row.
 pub fn member(host: &HostId) -> Key {
     Key(format!("{MEMBER_PREFIX}{host}"))
 }
 
-/// The row of the claim on an idempotency key, which goes in by its digest.
+/// Returns the key of the claim on an idempotency key, given the digest of that key.
 pub fn claim(group: &GroupName, service: &ServiceName, digest: &str) -> Key {
     Key(format!("{CLAIM_PREFIX}{service}/{group}/{digest}"))
 }
--- a/reachhead_store/src/lib.rs
+++ b/reachhead_store/src/lib.rs
@@ -1,6 +1,6 @@
-//! The platform as the programs see it: rows, transactions, the host list, and what can go wrong.
+//! Client for the platform's table service and host list.
 //!
-//! docs/STORE.md gives the protocol and every key that the system keeps.
+//! docs/STORE.md describes the protocol and every key that the system stores.
 
 pub mod adaptive_timeout;
 pub mod breaker;
@@ -21,50 +21,51 @@
 
 use crate::row::{Commit, Key, Page, Row, Scan, Txn};
 
-/// Why a call to the store gave no result.
+/// An error of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StoreError {
     /// The call never reached the store, or the store said that it did nothing.
     #[error("the store did not take the call: {0}")]
     NotDone(String),
-    /// The store answered that it did nothing, since it has too much to do or serves others.
+    /// The store answered that it did nothing because it is overloaded or reserved for other clients.
     #[error("the store is busy: {0}")]
     Busy(String),
-    /// The call was sent and its answer is lost, so it may have taken effect, or still may.
+    /// The call was sent but no answer arrived, so it may have taken effect or may still do so.
     #[error("the store's answer is lost: {0}")]
     Lost(String),
-    /// The store did not understand the call; a retry can't help.
+    /// The store rejected the call as invalid; a retry fails in the same way.
     #[error("the store refused the call: {0}")]
     Refused(String),
 }
 
-/// The table service.
+/// A transactional key-value table.
 pub trait Store: Send + Sync {
     /// Returns the row of each key, in the order of the keys.
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]; a read has no effect, so each may be retried but `Refused`.
+    /// Any [`StoreError`]; reads have no side effects, so all but `Refused` may be retried.
     fn read(&self, keys: Vec<Key>) -> BoxFuture<'_, Result<Vec<Option<Row>>, StoreError>>;
 
-    /// Returns the rows of a prefix in the order of their keys, all as of one revision.
+    /// Returns the rows with a key prefix in key order, all as of one revision.
     ///
     /// # Errors
     ///
     /// As [`Store::read`].
     fn scan(&self, scan: Scan) -> BoxFuture<'_, Result<Page, StoreError>>;
 
-    /// Writes all of a transaction's rows if all of its checks hold, else none.
+    /// Applies all writes of a transaction if all of its checks hold, otherwise none.
     ///
     /// # Errors
     ///
-    /// After [`StoreError::Lost`] the caller has to read back what became of it.
+    /// Any [`StoreError`]; after [`StoreError::Lost`] the caller must read the rows to find out
+    /// whether the transaction was applied.
     fn commit(&self, txn: Txn) -> BoxFuture<'_, Result<Commit, StoreError>>;
 }
 
-/// The platform's list of hosts.
+/// A reader of the platform's host list.
 pub trait HostLister: Send + Sync {
-    /// Returns the list if it is newer than `after`; it may all the same be stale.
+    /// Returns the host list if its revision is newer than `after`; the list may still be stale.
     ///
     /// # Errors
     ///
--- a/reachhead_store/src/memory.rs
+++ b/reachhead_store/src/memory.rs
@@ -1,4 +1,4 @@
-//! A table service in memory: what the stand-in serves, and what logic is tested against.
+//! An in-memory table service, used by the stand-in platform and in tests.
 
 use std::{
     collections::BTreeMap,
@@ -14,7 +14,7 @@
     row::{Check, Commit, Conflict, Key, Page, Row, Scan, Txn},
 };
 
-/// Rows in memory, each transaction under one lock.
+/// An in-memory [`Store`] that runs each transaction under one lock.
 #[derive(Debug, Default)]
 pub struct MemoryStore {
     table: Mutex<Table>,
@@ -33,7 +33,7 @@
     }
 
     fn table(&self) -> MutexGuard<'_, Table> {
-        // Nothing panics under the lock, so a poisoned table is whole all the same.
+        // No code panics while it holds the lock, so a poisoned table is still consistent.
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/reachhead_store/src/platform.rs
+++ b/reachhead_store/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform does with hosts: draining, rebooting, telling how they are.
+//! The platform's host operations: status, drain, undrain and reboot.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -8,21 +8,21 @@
 
 use crate::StoreError;
 
-/// What the tags of this system's drains start with, so that it takes back none but its own.
+/// Prefix of the tags of this system's drains, so that it undoes no drain of another system.
 const TAG_PREFIX: &str = "reachhead/";
 
-/// Names one drain of one host, so that a call which comes late takes back no later drain.
+/// The id of one drain of one host, so that a delayed call can't undo a later drain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DrainTag(String);
 
 impl DrainTag {
-    /// Returns the tag of the drain that a host's row of `revision` asks for.
+    /// Returns the tag of the drain that a host's row requests at `revision`.
     pub fn new(revision: Revision) -> Self {
         Self(format!("{TAG_PREFIX}{revision}"))
     }
 
-    /// Tells whether this system drains by it.
+    /// Returns whether the drain is one of this system's.
     pub fn is_own(&self) -> bool {
         self.0.starts_with(TAG_PREFIX)
     }
@@ -34,59 +34,62 @@
     }
 }
 
-/// How a host is, by the platform.
+/// The status of a host as the platform reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
-    /// Whether it runs.
+    /// Whether the host runs.
     pub is_up: bool,
-    /// The drain that it is under, if any.
+    /// The current drain of the host, if any.
     pub drain: Option<DrainTag>,
-    /// Tasks and requests that run on it.
+    /// Number of tasks and requests that run on the host.
     pub running: u32,
-    /// How often it was booted.
+    /// Number of boots so far.
     pub boots: u64,
 }
 
 impl HostStatus {
-    /// Tells whether it takes no new work.
+    /// Returns whether the host takes no new work.
     pub fn is_drained(&self) -> bool {
         self.drain.is_some()
     }
 
-    /// Returns the drain that it is under, if it is one of this system's.
+    /// Returns the current drain if it is one of this system's.
     pub fn own_drain(&self) -> Option<&DrainTag> {
         self.drain.as_ref().filter(|tag| tag.is_own())
     }
 }
 
-/// The platform's hosts. Each call may take effect though its answer is lost, and may be repeated.
+/// The platform's operations on hosts.
+///
+/// All of them are idempotent: a call may take effect even if its answer is lost, and may be retried.
 pub trait Platform: Send + Sync {
-    /// Returns how each of `hosts` is; `None` for one that the platform does not know.
+    /// Returns the status of each of `hosts`; `None` for a host that the platform does not know.
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]; a look has no effect.
+    /// Any [`StoreError`]; the call has no side effects.
     fn status(
         &self,
         hosts: Vec<HostId>,
     ) -> BoxFuture<'_, Result<Vec<Option<HostStatus>>, StoreError>>;
 
-    /// Lets `host` take no new work, by the drain `tag`; the host list tells everyone.
+    /// Starts the drain `tag` of `host`: it takes no new work, and the host list shows it as leaving.
     ///
     /// # Errors
     ///
     /// Any [`StoreError`].
     fn drain(&self, host: HostId, tag: DrainTag) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Lets `host` take work again if it is still under the drain `tag`.
+    /// Ends the drain of `host` if its current drain is still `tag`, so that it takes work again.
     ///
     /// # Errors
     ///
     /// Any [`StoreError`].
     fn undrain(&self, host: HostId, tag: DrainTag) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Reboots `host` if it is under the drain `tag` and was booted `boots` times so far; the platform
-    /// refuses to otherwise, so a call that comes late reboots nothing a second time.
+    /// Reboots `host` if its current drain is `tag` and it was booted `boots` times so far.
+    ///
+    /// The platform refuses otherwise, so a delayed call does not reboot the host a second time.
     ///
     /// # Errors
     ///
--- a/reachhead_store/src/row.rs
+++ b/reachhead_store/src/row.rs
@@ -1,4 +1,4 @@
-//! Rows, transactions and their results; these types are the protocol's JSON too.
+//! Rows, transactions and their results; their serialized form is the JSON of the store protocol.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -8,7 +8,7 @@
 
 use crate::StoreError;
 
-/// The key of a row; parts are joined by '/'.
+/// The key of a row: parts separated by '/'.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Key(pub String);
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// `Refused` if it is none: the row belongs to another release.
+    /// `Refused` if the value has another format, for example that of another release.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, StoreError> {
         T::deserialize(&self.value)
             .map_err(|error| StoreError::Refused(format!("row {}: {error}", self.key)))
@@ -47,7 +47,7 @@
 pub struct Check {
     /// The row that is checked.
     pub key: Key,
-    /// The revision that it must have; `None` means that there must be no such row.
+    /// The revision that the row must have; `None` requires that the row is absent.
     pub revision: Option<Revision>,
 }
 
@@ -56,11 +56,11 @@
 pub struct Write {
     /// The row that is written.
     pub key: Key,
-    /// Its new value; `None` deletes the row.
+    /// The new value; `None` deletes the row.
     pub value: Option<Value>,
 }
 
-/// A transaction: all writes if all checks hold, else nothing.
+/// A transaction: all writes are applied if all checks hold, otherwise none.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Txn {
     /// The preconditions.
@@ -97,43 +97,43 @@
     }
 }
 
-/// A check that did not hold, with the row as it is.
+/// A failed check with the current row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
     /// The row that was checked.
     pub key: Key,
-    /// The row as it is now; `None` where there is none.
+    /// The current row; `None` if there is none.
     pub row: Option<Row>,
 }
 
-/// What became of a transaction that the store decided.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Commit {
-    /// All writes are in force; their rows have this revision.
+    /// All writes were applied; their rows have this revision.
     Done(Revision),
-    /// No write is in force; these checks did not hold.
+    /// No write was applied; these checks failed.
     Conflict(Vec<Conflict>),
 }
 
-/// A request for the rows of a prefix.
+/// A request for a page of the rows with a key prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scan {
-    /// What the keys start with.
+    /// The key prefix.
     pub prefix: String,
-    /// The key after which to go on; `None` starts at the first.
+    /// The key after which the page starts; `None` starts at the first row.
     pub after: Option<Key>,
-    /// Rows at most.
+    /// Maximum number of rows.
     pub limit: u32,
 }
 
-/// Rows of a prefix.
+/// A page of rows with a common key prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The rows in the order of their keys.
+    /// The rows in key order.
     pub rows: Vec<Row>,
-    /// The store's revision when they were read.
+    /// The store's revision at which the rows were read.
     pub revision: Revision,
-    /// Whether rows follow.
+    /// Whether more rows follow.
     pub more: bool,
 }
--- a/reachhead_store/tests/breaker.rs
+++ b/reachhead_store/tests/breaker.rs
@@ -1,4 +1,4 @@
-//! The breaker: rate, bursts, an outage and its end.
+//! The circuit breaker: rate limit, bursts, outages and stalls.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -8,24 +8,24 @@
 use reachhead_store::breaker::{Admission, Breaker, MAX_FAILURES, MAX_PROBE_PAUSE};
 
 properties! {
-    /// Over any pattern of calls no more get through than the rate and one burst allow.
+    /// For any pattern of calls, no more are admitted than the rate and one burst allow.
     fn the_rate_holds(gaps: Vec<u8>, rate: u8) -> bool {
         let rate = u32::from(rate) + 1;
         let start = Instant::now();
         let mut breaker = Breaker::new(rate, start);
         let mut now = start;
-        let mut passed = 0;
+        let mut admitted = 0;
         for gap in gaps {
             now += Duration::from_millis(u64::from(gap) / 8);
-            passed += u32::from(matches!(breaker.admit(now), Admission::Proceed | Admission::Wait(_)));
+            admitted += u32::from(matches!(breaker.admit(now), Admission::Proceed | Admission::Wait(_)));
         }
         let seconds = now.duration_since(start).as_secs_f64() + 0.25;
-        f64::from(passed) <= f64::from(rate) * (seconds + 1.0) + 1.0
+        f64::from(admitted) <= f64::from(rate) * (seconds + 1.0) + 1.0
     }
 }
 
 #[test]
-fn an_outage_fails_calls_at_once_but_for_a_probe_now_and_then() {
+fn calls_fail_at_once_during_an_outage_except_for_probes() {
     let start = Instant::now();
     let mut breaker = Breaker::new(100, start);
     for _ in 0..MAX_FAILURES {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_store_that_answers_nothing_stalls_calls_before_they_time_out() {
+fn a_store_without_answers_is_stalled_before_calls_time_out() {
     let start = Instant::now();
     let mut breaker = Breaker::new(100, start);
     let at = |millis| start + Duration::from_millis(millis);
@@ -58,11 +58,11 @@
     assert_eq!(breaker.admit(at(800)), Admission::Proceed);
     let second = breaker.start_call(at(800));
     assert_eq!(breaker.admit(at(1000)), Admission::Down);
-    // The first times out; the second still waits, and nobody else has to.
+    // The first call times out; the second still waits, and further calls fail at once.
     breaker.end_call(first);
     breaker.record_failure(at(1800), 1.0);
     assert_eq!(breaker.admit(at(1850)), Admission::Down);
-    // One call at a time looks whether the store is back.
+    // One call at a time probes the store.
     breaker.end_call(second);
     assert_eq!(breaker.admit(at(2600)), Admission::Proceed);
     let probe = breaker.start_call(at(2600));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_store_that_answers_other_calls_is_slow_and_not_stalled() {
+fn a_slow_store_that_answers_other_calls_is_not_stalled() {
     let start = Instant::now();
     let mut breaker = Breaker::new(100, start);
     let at = |millis| start + Duration::from_millis(millis);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn calls_that_are_given_up_one_after_the_other_show_a_stall_as_one_that_is_waited_for_does() {
+fn abandoned_calls_count_towards_a_stall() {
     let start = Instant::now();
     let mut breaker = Breaker::new(100, start);
     let at = |millis| start + Duration::from_millis(millis);
--- a/reachhead_store/tests/config.rs
+++ b/reachhead_store/tests/config.rs
@@ -1,4 +1,4 @@
-//! Operators race each other while the store loses answers: no accepted change is lost or undone.
+//! Configuration changes that race each other while the store loses answers.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -23,26 +23,26 @@
 };
 use serde_json::json;
 
-/// A store that fails calls at random, before or after they take effect.
-struct Flaky {
+/// A store that loses the answers of commits at random, before or after they take effect.
+struct FlakyStore {
     inner: MemoryStore,
     rng: Mutex<SmallRng>,
     rate: f64,
 }
 
-impl Flaky {
+impl FlakyStore {
     fn new(seed: u64, rate: f64) -> Arc<Self> {
         let rng = Mutex::new(SmallRng::seed_from_u64(seed));
         Arc::new(Self { inner: MemoryStore::new(), rng, rate })
     }
 
-    fn draw(&self) -> bool {
+    fn should_fail(&self) -> bool {
         let mut rng = self.rng.lock().unwrap();
         rng.random_bool(self.rate)
     }
 }
 
-impl Store for Flaky {
+impl Store for FlakyStore {
     fn read(&self, keys: Vec<Key>) -> BoxFuture<'_, Result<Vec<Option<Row>>, StoreError>> {
         async move {
             tokio::task::yield_now().await;
@@ -62,11 +62,11 @@
     fn commit(&self, txn: Txn) -> BoxFuture<'_, Result<Commit, StoreError>> {
         async move {
             tokio::task::yield_now().await;
-            if self.draw() {
+            if self.should_fail() {
                 return Err(StoreError::Lost("before".to_owned()));
             }
             let commit = self.inner.commit(txn).await;
-            if self.draw() {
+            if self.should_fail() {
                 return Err(StoreError::Lost("after".to_owned()));
             }
             commit
@@ -85,9 +85,9 @@
     ConfigWriter::new(store, "tester".parse().unwrap(), Millis(0))
 }
 
-/// Several operators make changes one after the other, repeating each until it is settled.
+/// Runs several operators concurrently, each of which repeats every change until it is accepted.
 async fn race(seed: u64, rate: f64) {
-    let store = Flaky::new(seed, rate);
+    let store = FlakyStore::new(seed, rate);
     let operators = (0..4_u128).map(|operator| {
         let store = Arc::clone(&store);
         tokio::spawn(async move {
@@ -117,10 +117,10 @@
             assert!(accepted.insert(version, id).is_none(), "two changes are version {version}");
         }
     }
-    // Every change is there once, and the versions have no hole.
+    // Every change was applied once, and there is no gap between the versions.
     let versions: Vec<u64> = accepted.keys().map(|version| version.0).collect();
     assert_eq!(versions, (1..=40).collect::<Vec<u64>>());
-    // Rows hold the last change in the order of versions, whoever follows from wherever.
+    // Each row has the value of the newest version that wrote it.
     let mut expected = BTreeMap::new();
     for id in accepted.values() {
         let row = format!("group/o{}", (id / 100 + id % 100) % 3);
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn racing_operators_and_lost_answers_lose_and_undo_nothing() {
+async fn races_and_lost_answers_lose_and_undo_no_change() {
     for seed in 0..20 {
         race(seed, 0.0).await;
         race(seed, 0.2).await;
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_of_a_row_that_moved_is_refused_and_others_do_not_collide() {
+async fn a_change_of_a_row_written_since_is_rejected_and_other_rows_do_not_conflict() {
     let store = MemoryStore::new();
     let mut snapshot = ConfigSnapshot::new();
     let first =
@@ -151,15 +151,15 @@
         .change(&mut snapshot, &request(2, "group/b", 2, Some(Version(0))))
         .await;
     assert_eq!(second.unwrap(), Version(2));
-    // Someone else changed group b meanwhile; group a is still as it was seen.
+    // Group b was written by the second change; group a is still at the expected version.
     let stale =
         config_writer(&store).change(&mut snapshot, &request(3, "group/b", 3, Some(first))).await;
     let key: RowKey = "group/b".parse().unwrap();
     assert!(matches!(stale, Err(ChangeError::Raced(rows)) if rows == [key]));
-    let fine =
+    let accepted =
         config_writer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
-    assert_eq!(fine.unwrap(), Version(3));
-    // The same change again is the same version and changes nothing more.
+    assert_eq!(accepted.unwrap(), Version(3));
+    // Repeating the request returns the same version and changes nothing.
     let again =
         config_writer(&store).change(&mut snapshot, &request(4, "group/a", 4, Some(first))).await;
     assert_eq!(again.unwrap(), Version(3));
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_follower_far_behind_reads_all_rows_and_comes_to_the_same() {
+async fn a_follower_far_behind_reads_all_rows_with_the_same_result() {
     let store = MemoryStore::new();
     let mut writer = ConfigSnapshot::new();
     let mut near = ConfigSnapshot::new();
--- a/reachhead_store/tests/guarded.rs
+++ b/reachhead_store/tests/guarded.rs
@@ -1,4 +1,4 @@
-//! The guarded store: probes whose callers give up, and parts that are away.
+//! The guarded store: probes dropped by their callers, unavailable partitions and slow scans.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -19,21 +19,21 @@
 };
 use tokio::time;
 
-/// How long the store takes for an answer, so that calls made together are under way together.
-const ANSWER_TIME: Duration = Duration::from_millis(4);
+/// Latency of the store, so that calls made together are in flight together.
+const LATENCY: Duration = Duration::from_millis(4);
 
-/// A store of which the parts whose names begin with `away` fail for a while.
+/// A store whose partitions with names starting with `away` fail while `down` is set.
 #[derive(Default)]
 struct FailingStore {
     inner: MemoryStore,
     down: Arc<AtomicBool>,
-    /// How long reads of all rows of a part take beyond that.
-    scan_time: Duration,
+    /// Additional latency of scans.
+    scan_latency: Duration,
 }
 
 impl FailingStore {
     async fn answer(&self, key: &str) -> Result<(), StoreError> {
-        time::sleep(ANSWER_TIME).await;
+        time::sleep(LATENCY).await;
         if self.down.load(Ordering::Relaxed) && key.contains("/away") {
             return Err(StoreError::NotDone("reset".to_owned()));
         }
@@ -53,7 +53,7 @@
     fn scan(&self, scan: Scan) -> BoxFuture<'_, Result<Page, StoreError>> {
         async move {
             self.answer(&scan.prefix).await?;
-            time::sleep(self.scan_time).await;
+            time::sleep(self.scan_latency).await;
             self.inner.scan(scan).await
         }
         .boxed()
@@ -68,74 +68,79 @@
     }
 }
 
-fn part_of(key: &str) -> &str {
+fn partition_of(key: &str) -> &str {
     key.split('/').nth(1).unwrap_or_default()
 }
 
-/// Reads some keys at once and gives up with the first that fails, as a takeover does.
-async fn load(store: &impl Store, part: &str) -> Result<(), StoreError> {
-    let reads = (0..5).map(|place| store.read(vec![Key(format!("table/{part}/{place}"))]));
+/// Reads some keys concurrently and drops the other reads when one fails, as a takeover does.
+async fn read_keys(store: &impl Store, partition: &str) -> Result<(), StoreError> {
+    let reads = (0..5).map(|place| store.read(vec![Key(format!("table/{partition}/{place}"))]));
     try_join_all(reads).await.map(drop)
 }
 
-async fn fail_for_a_while(store: &impl Store, part: &str) {
+async fn fail_for_a_while(store: &impl Store, partition: &str) {
     for _ in 0..40 {
         time::sleep(Duration::from_millis(50)).await;
-        let _ = load(store, part).await;
+        let _ = read_keys(store, partition).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_probe_whose_caller_gives_up_still_tells_that_the_store_is_back() {
+async fn a_probe_dropped_by_its_caller_still_closes_the_breaker() {
     let down = Arc::new(AtomicBool::new(true));
     let failing = FailingStore { down: Arc::clone(&down), ..FailingStore::default() };
     let store = GuardedStore::new(failing, 1000);
     fail_for_a_while(&store, "away").await;
-    assert!(load(&store, "away").await.is_err());
+    assert!(read_keys(&store, "away").await.is_err());
     down.store(false, Ordering::Relaxed);
     let begun = time::Instant::now();
-    while load(&store, "away").await.is_err() {
-        assert!(begun.elapsed() < Duration::from_secs(4), "the store is never believed to be back");
+    while read_keys(&store, "away").await.is_err() {
+        assert!(begun.elapsed() < Duration::from_secs(4), "the breaker never closes");
         time::sleep(Duration::from_millis(100)).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_part_that_is_away_does_not_close_the_others() {
+async fn an_unavailable_partition_does_not_block_the_others() {
     let down = Arc::new(AtomicBool::new(true));
     let failing = FailingStore { down, ..FailingStore::default() };
-    let store = GuardedStore::new(failing, 1000).with_partitions(part_of);
+    let store = GuardedStore::new(failing, 1000).with_partitions(partition_of);
     for _ in 0..40 {
         time::sleep(Duration::from_millis(50)).await;
-        assert!(load(&store, "away").await.is_err());
-        assert!(load(&store, "here").await.is_ok(), "a part that answers is closed");
+        assert!(read_keys(&store, "away").await.is_err());
+        assert!(read_keys(&store, "here").await.is_ok(), "an available partition is blocked");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_part_that_was_away_for_long_is_used_soon_after_it_is_back() {
+async fn a_partition_is_used_soon_after_a_long_outage() {
     let down = Arc::new(AtomicBool::new(true));
     let failing = FailingStore { down: Arc::clone(&down), ..FailingStore::default() };
     let longest = Duration::from_millis(400);
-    let store =
-        GuardedStore::new(failing, 1000).with_partitions(part_of).with_max_probe_pause(longest);
+    let store = GuardedStore::new(failing, 1000)
+        .with_partitions(partition_of)
+        .with_max_probe_pause(longest);
     for _ in 0..20 {
         fail_for_a_while(&store, "away").await;
     }
     down.store(false, Ordering::Relaxed);
     let begun = time::Instant::now();
-    while load(&store, "away").await.is_err() {
+    while read_keys(&store, "away").await.is_err() {
         assert!(begun.elapsed() < Duration::from_millis(700), "{:?}", begun.elapsed());
         time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// A process on a weak link reads the hundreds of jobs of a pool that it takes over, which takes a second, while its other calls take some
-/// milliseconds. Each read was given up after six times what those took and begun anew, for ever: nobody of such a fleet could
-/// take the pool, its jobs stood still, and the reads filled the link.
+/// Guards against scans that time out by the latency of other calls.
+///
+/// A process on a slow link that takes over a pool scans its hundreds of jobs, which takes a second,
+/// while its other calls take some milliseconds. If the scan times out after six times their latency
+/// it is retried for ever: no process of such a fleet can take over the pool, its jobs make no
+/// progress, and the scans fill the link.
 #[tokio::test(start_paused = true)]
-async fn reads_of_whole_parts_are_waited_for_though_other_calls_are_quick() {
-    let slow = FailingStore { scan_time: Duration::from_millis(1000), ..FailingStore::default() };
+async fn scans_do_not_time_out_by_the_latency_of_other_calls() {
+    let slow =
+        FailingStore { scan_latency: Duration::from_millis(1000), ..FailingStore::default() };
     let store = GuardedStore::new(slow, 1000).with_adaptive_timeouts();
     let scan = || Scan { prefix: "job/p.0/".to_owned(), after: None, limit: u32::MAX };
     let mut tries = 0;
--- a/reachhead_store/tests/history.rs
+++ b/reachhead_store/tests/history.rs
@@ -1,4 +1,4 @@
-//! History, differences and undo against the naive version: a copy of all rows at each version.
+//! History, differences and undo, compared with a model that keeps a copy of all rows per version.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -21,15 +21,15 @@
 
 type Rows = BTreeMap<RowKey, Value>;
 
-/// Rows that the changes write.
+/// Number of rows that the changes write.
 const ROWS: u8 = 5;
 
 struct History {
     store: MemoryStore,
     snapshot: ConfigSnapshot,
-    /// The rows as of each version, version 0 first.
+    /// The rows at each version, version 0 first.
     copies: Vec<Rows>,
-    /// The rows that each version wrote, version 0 first.
+    /// The keys that each version wrote, version 0 first.
     written: Vec<Vec<RowKey>>,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Makes a change from numbers: each writes or deletes a row.
+/// Derives a change from random numbers: each number writes or deletes a row.
 fn request(id: usize, numbers: &[u8]) -> ChangeRequest {
     let writes: BTreeMap<RowKey, Option<Value>> = numbers
         .iter()
@@ -104,19 +104,19 @@
         }
         let version = 1 + version % newest;
         let touched = history.written[version].clone();
-        // Another write since is in the way, unless it left the row absent as this one did.
-        let is_moved = |key: &RowKey| {
+        // A later write conflicts unless both it and this one left the row absent.
+        let is_conflicting = |key: &RowKey| {
             let last = (1..=newest).rev().find(|&at| history.written[at].contains(key));
             let is_gone = |at: usize| !history.copies[at].contains_key(key);
             last != Some(version) && !(is_gone(version) && is_gone(newest))
         };
-        let moved: Vec<RowKey> = touched.iter().filter(|key| is_moved(key)).cloned().collect();
+        let conflicting: Vec<RowKey> = touched.iter().filter(|key| is_conflicting(key)).cloned().collect();
         let id = ChangeId(u128::MAX);
         let log = block_on(history::find(&history.store, Version(version as u64))).unwrap();
         let request = history::undo(id, log.unwrap());
         match history.change(&request) {
             Err(ChangeError::Raced(raced)) => {
-                TestResult::from_bool(!raced.is_empty() && raced == moved)
+                TestResult::from_bool(!raced.is_empty() && raced == conflicting)
             }
             Err(error) => TestResult::error(error.to_string()),
             Ok(_) => {
@@ -127,8 +127,8 @@
                         None => expected.remove(key),
                     };
                 }
-                let is_right = moved.is_empty() && rows(&history.snapshot) == expected;
-                // The same undo again is the same change.
+                let is_right = conflicting.is_empty() && rows(&history.snapshot) == expected;
+                // Repeating the undo returns the same version.
                 let again = history.change(&request).unwrap();
                 TestResult::from_bool(is_right && again.0 == newest as u64 + 1)
             }
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_row_written_twice_in_one_change_and_a_version_that_is_not_there_are_refused() {
+fn duplicate_writes_and_missing_versions_are_rejected() {
     let mut history = History::new();
     let mut twice = request(1, &[1]);
     twice.writes.extend(request(1, &[1]).writes);
@@ -185,15 +185,15 @@
             .map(|log| log.version.0)
             .collect();
         let kept: Vec<u64> = (newest - keep + 1..=newest).map(|version| version as u64).collect();
-        // Histories name what the log still has, and no more.
-        let is_named = (0..ROWS).all(|number| {
+        // The row histories have exactly the versions that the log still has.
+        let has_exact_histories = (0..ROWS).all(|number| {
             let key: RowKey = format!("group/g{number}").parse().unwrap();
             let events = block_on(history::row_history(&history.store, &key, Version(0))).unwrap();
             let found: Vec<u64> = events.iter().map(|event| event.version.0).collect();
             let written = |version: &&u64| history.written[**version as usize].contains(&key);
             found == kept.iter().filter(written).copied().collect::<Vec<u64>>()
         });
-        // Followers that were anywhere come to the same rows.
+        // Followers at any version arrive at the same rows.
         let is_followed = (0..=newest).all(|from| {
             let mut snapshot = ConfigSnapshot::new();
             for version in 1..=from {
@@ -209,6 +209,6 @@
             block_on(config::follow(&history.store, &mut snapshot)).unwrap();
             rows(&snapshot) == history.copies[newest]
         });
-        versions == kept.iter().take(100).copied().collect::<Vec<u64>>() && is_named && is_followed
+        versions == kept.iter().take(100).copied().collect::<Vec<u64>>() && has_exact_histories && is_followed
     }
 }
--- a/reachhead_store/tests/hosts.rs
+++ b/reachhead_store/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts of several pools as one picture.
+//! Consistent reads of the hosts of several pools.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -19,9 +19,9 @@
 };
 use serde_json::json;
 
-/// A store in which the host of one pool comes back and that of the other leaves, between the first read of rows and the
-/// next: never are both away.
-struct Swapping {
+/// A store in which the host of one pool returns to service and the host of the other pool starts to
+/// drain between the first read of rows and the next; at no revision are both out of service.
+struct SwappingStore {
     inner: MemoryStore,
     swapped: AtomicBool,
 }
@@ -39,7 +39,7 @@
         .with_write(keys::pool_host(&row.pool, &id), json!({}))
 }
 
-impl Store for Swapping {
+impl Store for SwappingStore {
     fn read(&self, keys: Vec<Key>) -> BoxFuture<'_, Result<Vec<Option<Row>>, StoreError>> {
         async move {
             let rows = self.inner.read(keys).await;
@@ -62,17 +62,20 @@
     }
 }
 
-/// A wave over two pools was shown with two hosts away where one may be. The host of the first pool was read before it came
-/// back, that of the second after it had left in its turn: the two reads were of different moments.
+/// Guards against reads of several pools at different revisions.
+///
+/// A wave over two pools was shown with two hosts out of service where one is allowed: the host of the
+/// first pool was read before it returned, that of the second pool after it had started to drain.
 #[test]
-fn hosts_of_several_pools_are_of_one_moment() {
+fn hosts_of_several_pools_are_read_at_one_revision() {
     let inner = MemoryStore::new();
     let txn = put(Txn::new(), "w1", &host("main", HostPhase::Arriving));
     let txn = put(txn, "w2", &host("spare", HostPhase::Serving));
     block_on(inner.commit(txn)).unwrap();
-    let store = Swapping { inner, swapped: AtomicBool::new(false) };
+    let store = SwappingStore { inner, swapped: AtomicBool::new(false) };
     let pools: Vec<PoolName> = vec!["main".parse().unwrap(), "spare".parse().unwrap()];
     let found = block_on(hosts::in_pools(&store, &pools)).unwrap();
-    let away = found.values().flatten().filter(|host| host.row.phase != HostPhase::Serving);
-    assert_eq!(away.count(), 1, "{found:?}");
+    let out_of_service =
+        found.values().flatten().filter(|host| host.row.phase != HostPhase::Serving);
+    assert_eq!(out_of_service.count(), 1, "{found:?}");
 }
--- a/reachhead_store/tests/scope.rs
+++ b/reachhead_store/tests/scope.rs
@@ -1,4 +1,4 @@
-//! Changes by an operator of one subtree against the naive rule, row by row, on the rows themselves.
+//! Changes by an operator of one subtree, compared with a model that decides row by row.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -18,7 +18,7 @@
 /// The groups of the operator's subtree.
 const OWN: [&str; 2] = ["red", "red-1"];
 
-/// The operator's group and those above it, whose pools its services may use.
+/// The groups whose pools the operator's services may use: its subtree and the groups above it.
 const ABOVE: [&str; 3] = ["top", "red", "red-1"];
 
 const GROUPS: [&str; 5] = ["top", "red", "red-1", "blue", "new"];
@@ -48,7 +48,7 @@
     json!({ "group": group, "salt": "s", "hash": "h" })
 }
 
-/// Draws a write from three numbers; most are nothing that the operator may do.
+/// Derives a write from three random numbers; the operator may make few of these writes.
 fn write(kind: u8, name: u8, other: u8) -> (String, Option<Value>) {
     let pick = |list: &[&'static str], number: u8| list[usize::from(number) % list.len()];
     let (group, service) = (pick(&GROUPS, other), pick(&SERVICES, name));
@@ -94,7 +94,7 @@
     ChangeRequest { id: ChangeId(id as u128), writes: writes.collect() }
 }
 
-/// Tells whether the operator may have changed the row of `key` from `before` to `after`.
+/// Returns whether the operator may change the row of `key` from `before` to `after`.
 fn is_allowed(key: &str, before: &Rows, after: &Rows) -> bool {
     let (kind, name) = key.split_once('/').unwrap();
     let is_own = |rows: &Rows| {
@@ -144,10 +144,10 @@
             let is_right = match result {
                 Ok(_) => after == naive && is_allowed(&key, &before, &after),
                 Err(ChangeError::Forbidden(_)) => after == before && !is_allowed(&key, &before, &naive),
-                // Rows of others are named to nobody.
+                // The faults name no rows that the operator may not read.
                 Err(ChangeError::Invalid(faults)) => {
-                    let is_named = |fault: String| fault == key || is_allowed(&fault, &before, &before);
-                    after == before && faults.iter().all(|fault| is_named(fault.key.to_string()))
+                    let is_visible = |fault: String| fault == key || is_allowed(&fault, &before, &before);
+                    after == before && faults.iter().all(|fault| is_visible(fault.key.to_string()))
                 }
                 Err(_) => false,
             };
