--- a/reachhead_types/src/answer.rs
+++ b/reachhead_types/src/answer.rs
@@ -1,4 +1,4 @@
-//! A finished answer as it is kept for replay under an idempotency key.
+//! Answers that are kept for replay under an idempotency key.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,17 +7,17 @@
 pub struct KeptField {
     /// Field name in lower case.
     pub name: String,
-    /// Field value; fields that are not text are not kept.
+    /// Field value; fields whose value is not text are not kept.
     pub value: String,
 }
 
-/// A minion's whole answer.
+/// A minion's complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// HTTP status code.
     pub status: u16,
-    /// Header fields that belong to the answer itself.
+    /// End-to-end header fields.
     pub fields: Vec<KeptField>,
-    /// Body in base 64, so that any byte survives the text of the store.
+    /// Body in base 64, since the store keeps text only.
     pub body: String,
 }
--- a/reachhead_types/src/boot_instant.rs
+++ b/reachhead_types/src/boot_instant.rs
@@ -1,8 +1,9 @@
-//! Moments on the clock by which leases, deadlines and holds are counted.
+//! Readings of the boot-time clock, used for leases, deadlines and hold times.
 //!
-//! A host may be suspended for seconds. The steady clock of the standard library does not count that time, so a process that wakes
-//! up would take a lease for valid that its successor has long taken, and a list of hosts for fresh that is not. The system's
-//! boot-time clock counts on. docs/PLATFORM.md lists what is counted by which clock.
+//! A host may be suspended for seconds. The monotonic clock of the standard library does not advance
+//! during that time, so a resumed process would consider a lease valid that its successor has taken
+//! long ago, and a stale list of hosts fresh. The system's boot-time clock advances during a
+//! suspension. docs/PLATFORM.md lists which clock is used for what.
 
 use std::{
     ops::{Add, AddAssign, Sub},
@@ -11,14 +12,14 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A moment on the host's clock since its start, with the time in which the host was suspended.
+/// A reading of the host's boot-time clock, which includes the time in which the host was suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct BootInstant {
     since_boot: Duration,
 }
 
 impl BootInstant {
-    /// Returns the present.
+    /// Returns the current time.
     pub fn now() -> Self {
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
             Ok(time) => Self { since_boot: time.into() },
@@ -26,17 +27,17 @@
         }
     }
 
-    /// Returns the time that has passed since this moment, none if it is to come.
+    /// Returns the time since this instant, zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().duration_since(self)
     }
 
-    /// Returns the time that is left until this moment, none if it is past.
+    /// Returns the time until this instant, zero if it is in the past.
     pub fn remaining(self) -> Duration {
         self.duration_since(Self::now())
     }
 
-    /// Returns the time since an earlier moment, none if it is later.
+    /// Returns the time since `earlier`, zero if `earlier` is the later of the two.
     pub fn duration_since(self, earlier: Self) -> Duration {
         self.since_boot.saturating_sub(earlier.since_boot)
     }
@@ -45,21 +46,21 @@
 impl Add<Duration> for BootInstant {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self { since_boot: self.since_boot.saturating_add(span) }
+    fn add(self, duration: Duration) -> Self {
+        Self { since_boot: self.since_boot.saturating_add(duration) }
     }
 }
 
 impl AddAssign<Duration> for BootInstant {
-    fn add_assign(&mut self, span: Duration) {
-        *self = *self + span;
+    fn add_assign(&mut self, duration: Duration) {
+        *self = *self + duration;
     }
 }
 
 impl Sub<Duration> for BootInstant {
     type Output = Self;
 
-    fn sub(self, span: Duration) -> Self {
-        Self { since_boot: self.since_boot.saturating_sub(span) }
+    fn sub(self, duration: Duration) -> Self {
+        Self { since_boot: self.since_boot.saturating_sub(duration) }
     }
 }
--- a/reachhead_types/src/fleet/check.rs
+++ b/reachhead_types/src/fleet/check.rs
@@ -1,4 +1,4 @@
-//! Reads rows and finds every fault of every row at once.
+//! Validation of configuration rows, which reports all errors of all rows at once.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
     tree::{Tree, TreeError},
 };
 
-/// Collects typed rows and their faults.
+/// Parses and validates rows, and collects their errors.
 #[derive(Default)]
-pub(super) struct RowReader {
+pub(super) struct FleetBuilder {
     groups: BTreeMap<GroupName, GroupRow>,
     minions: Vec<(ServiceName, MinionId, MinionRow)>,
     fleet: Fleet,
     faults: Vec<RowFault>,
 }
 
-impl RowReader {
-    pub fn read(&mut self, key: &RowKey, value: &Value) {
+impl FleetBuilder {
+    pub fn add_row(&mut self, key: &RowKey, value: &Value) {
         let fault = match key {
             RowKey::Group(name) => insert(&mut self.groups, name, value),
             RowKey::Pool(name) => insert(&mut self.fleet.pools, name, value),
@@ -45,17 +45,17 @@
             },
         };
         if let Some(text) = fault {
-            self.fault(key.clone(), text);
+            self.add_fault(key.clone(), text);
         }
     }
 
-    fn fault(&mut self, key: RowKey, text: impl Into<String>) {
+    fn add_fault(&mut self, key: RowKey, text: impl Into<String>) {
         self.faults.push(RowFault { key, text: text.into() });
     }
 
-    pub fn finish(mut self, version: Version) -> Result<Fleet, Vec<RowFault>> {
+    pub fn build(mut self, version: Version) -> Result<Fleet, Vec<RowFault>> {
         self.fleet.version = version;
-        self.place_minions();
+        self.assign_minions();
         self.build_tree();
         self.check_pools();
         self.check_services();
@@ -67,15 +67,15 @@
         }
     }
 
-    fn place_minions(&mut self) {
+    fn assign_minions(&mut self) {
         for (service, name, row) in std::mem::take(&mut self.minions) {
             let key = RowKey::Minion(service.clone(), name.clone());
             if row.slots.0 == 0 || row.connections.0 < row.slots.0 {
-                self.fault(key.clone(), "needs a slot, and a connection for each slot");
+                self.add_fault(key.clone(), "needs a slot, and a connection for each slot");
             }
             match self.fleet.services.get_mut(&service) {
                 Some(service) => drop(service.minions.insert(name, row)),
-                None => self.fault(key, format!("there is no service {service}")),
+                None => self.add_fault(key, format!("there is no service {service}")),
             }
         }
     }
@@ -85,15 +85,15 @@
             Ok(tree) => self.fleet.tree = tree,
             Err(faults) => {
                 for TreeError { group, text } in faults {
-                    self.fault(RowKey::Group(group), text);
+                    self.add_fault(RowKey::Group(group), text);
                 }
             }
         }
     }
 
-    /// Returns the fault of a row that names a group which is not there.
+    /// Returns the error text for a row that names `group` if there is no such group.
     fn missing_group(&self, group: &GroupName) -> Option<String> {
-        // A tree with faults is empty; its own faults are enough to tell.
+        // An invalid tree is empty; then only the errors of the tree itself are reported.
         let is_missing = !self.fleet.tree.is_empty() && !self.fleet.tree.contains(group);
         is_missing.then(|| format!("there is no group {group}"))
     }
@@ -151,6 +151,7 @@
     }
 }
 
+/// Parses a row and inserts it; returns the error text if it is malformed.
 fn insert<K: Ord + Clone, V: for<'de> Deserialize<'de>>(
     rows: &mut BTreeMap<K, V>,
     name: &K,
--- a/reachhead_types/src/fleet/key.rs
+++ b/reachhead_types/src/fleet/key.rs
@@ -1,4 +1,4 @@
-//! Names of configuration rows.
+//! Keys of configuration rows.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -10,7 +10,7 @@
 
 use crate::id::{GroupName, IdError, MinionId, OperatorName, PoolName, RouteName, ServiceName};
 
-/// The name of a configuration row.
+/// The key of a configuration row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RowKey {
     /// `group/NAME`.
@@ -27,13 +27,13 @@
     Operator(OperatorName),
 }
 
-/// Why a text is not a row key.
+/// An error of parsing a row key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RowKeyError {
-    /// The first part names no kind of row.
+    /// The first part is not a known kind of row.
     #[error("starts with none of group/, pool/, service/, minion/, route/, operator/")]
     Kind,
-    /// A part is not a name.
+    /// A part is not a valid name.
     #[error("{0}")]
     Name(#[from] IdError),
 }
--- a/reachhead_types/src/fleet/mod.rs
+++ b/reachhead_types/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The rows that operators configure, and the checked fleet that they make up together.
+//! The configuration rows, and the validated fleet that they describe.
 
 mod check;
 mod key;
@@ -12,29 +12,29 @@
 use thiserror::Error;
 
 use crate::{
-    fleet::check::RowReader,
+    fleet::check::FleetBuilder,
     id::{GroupName, HostId, MinionId, OperatorName, PoolName, RouteName, ServiceName, ZoneName},
     size::{Connections, Millis, Slots, Version},
     tree::{Overrides, Tree},
 };
 
-/// Slots of a minion that names none.
+/// Slots of a minion whose row doesn't set them.
 pub const DEFAULT_SLOTS: Slots = Slots(8);
 
-/// Connections of a minion that names none.
+/// Connections of a minion whose row doesn't set them.
 pub const DEFAULT_CONNECTIONS: Connections = Connections(64);
 
-/// Minions of a service that may be away at once, where the service does not say.
+/// Availability budget of a service whose row doesn't set it, in minions.
 pub const DEFAULT_UNAVAILABLE: u32 = 1;
 
 /// A group's row.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupRow {
-    /// The group it inherits from; `None` for a root.
+    /// The group that this group inherits from; `None` for a root.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<GroupName>,
-    /// What this group sets differently from its parent.
+    /// The settings that this group overrides.
     #[serde(default)]
     pub settings: Overrides,
 }
@@ -53,9 +53,9 @@
 pub struct ServiceRow {
     /// The group that runs the service.
     pub group: GroupName,
-    /// The pool whose hosts carry its minions.
+    /// The pool whose hosts run the minions.
     pub pool: PoolName,
-    /// Its availability budget: minions that may be away at once, planned and unplanned together.
+    /// Availability budget: minions that may be unavailable at once, planned and unplanned together.
     #[serde(default = "default_unavailable")]
     pub max_unavailable: u32,
 }
@@ -68,10 +68,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MinionState {
-    /// It takes work.
+    /// The minion takes new requests.
     #[default]
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The minion finishes its requests and takes no new ones.
     Leaving,
 }
 
@@ -79,17 +79,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MinionRow {
-    /// Where it listens, by IP number.
+    /// The IP address and port on which it listens.
     pub address: SocketAddr,
-    /// The availability zone it runs in.
+    /// The availability zone in which it runs.
     pub zone: ZoneName,
-    /// The host it runs on, by the platform's list; `None` if the list does not tell of it.
+    /// The host on which it runs, as named in the platform's list; `None` if it is not listed there.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<HostId>,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     #[serde(default = "default_slots")]
     pub slots: Slots,
-    /// Connections that it accepts.
+    /// Maximum number of connections.
     #[serde(default = "default_connections")]
     pub connections: Connections,
     /// Whether it takes new work.
@@ -109,27 +109,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum IdempotencyMode {
-    /// A key is handed on untouched; what may be repeated is told by the method alone.
+    /// Keys are forwarded unchanged; only the method decides whether a request may be retried.
     #[default]
     Ignored,
-    /// A request with a key runs at most once; one without is treated as if keys were ignored.
+    /// A request with a key runs at most once; one without a key is handled as with `Ignored`.
     Accepted,
-    /// Every request must carry a key and runs at most once.
+    /// Every request must have a key and runs at most once.
     Required,
 }
 
-/// Priority inside a group, the most urgent first.
+/// Priority class of requests within a group, the most urgent first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Someone stands and waits.
+    /// A person is blocked until the answer arrives.
     Urgent,
-    /// Someone waits at a screen.
+    /// An interactive user waits for the answer.
     #[default]
     Normal,
-    /// Nobody waits.
+    /// No person waits for the answer.
     Batch,
 }
 
@@ -144,45 +144,45 @@
 pub struct RouteRow {
     /// Path prefix, matched by whole segments.
     pub path: String,
-    /// The group on whose share the requests count.
+    /// The group whose share the requests use.
     pub group: GroupName,
-    /// The service that answers.
+    /// The service that handles the requests.
     pub service: ServiceName,
     /// How `Idempotency-Key` is treated.
     #[serde(default)]
     pub key: IdempotencyMode,
-    /// Priority inside the group.
+    /// Priority class within the group.
     #[serde(default)]
     pub class: Class,
-    /// Deadline of a request in milliseconds; the group's setting where there is none.
+    /// Deadline of a request in milliseconds; `None` uses the group's setting.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Millis>,
 }
 
-/// An operator's row; docs/API.md tells what an operator of a group may do.
+/// An operator's row; docs/API.md describes the permissions of a group's operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorRow {
-    /// The group whose subtree the operator works in; `None` for the whole tree.
+    /// The group whose subtree the operator may administer; `None` for the whole tree.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub group: Option<GroupName>,
-    /// What is hashed in front of the token.
+    /// Salt that is hashed in front of the token.
     pub salt: String,
-    /// Digest of salt and token, as [`crate::token::digest`] makes it.
+    /// Digest of salt and token, from [`crate::token::digest`].
     pub hash: String,
 }
 
-/// One fault of a set of rows.
+/// A validation error in a configuration row.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{key}: {text}")]
 pub struct RowFault {
-    /// The row at fault.
+    /// The invalid row.
     pub key: RowKey,
-    /// What is wrong with it, for the operator.
+    /// Description of the error for the operator.
     pub text: String,
 }
 
-/// A service together with its minions.
+/// A service with its minions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
     /// The service's own row.
@@ -191,7 +191,7 @@
     pub minions: BTreeMap<MinionId, MinionRow>,
 }
 
-/// All rows of one version, checked against each other.
+/// The validated configuration of one version.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Fleet {
     /// The version that the rows belong to.
@@ -209,19 +209,19 @@
 }
 
 impl Fleet {
-    /// Builds the fleet of `version` from its rows.
+    /// Validates the rows of `version` and builds the fleet from them.
     ///
     /// # Errors
     ///
-    /// Returns every fault of every row at once, so that an operator mends them in one go.
+    /// Returns all errors of all rows, so that an operator can fix them at once.
     pub fn from_rows<'a>(
         version: Version,
         rows: impl IntoIterator<Item = (&'a RowKey, &'a Value)>,
     ) -> Result<Self, Vec<RowFault>> {
-        let mut reader = RowReader::default();
+        let mut builder = FleetBuilder::default();
         for (key, value) in rows {
-            reader.read(key, value);
+            builder.add_row(key, value);
         }
-        reader.finish(version)
+        builder.build(version)
     }
 }
--- a/reachhead_types/src/hosts.rs
+++ b/reachhead_types/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts, whose reads may be stale.
+//! The platform's list of live and leaving hosts; reads of it may be stale.
 
 use std::collections::BTreeSet;
 
@@ -6,13 +6,13 @@
 
 use crate::{id::HostId, size::Revision};
 
-/// Whether a host stays.
+/// Whether a host stays in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// It runs and stays.
+    /// The host runs and stays in service.
     Live,
-    /// It will be stopped soon.
+    /// The host will be stopped soon.
     Leaving,
 }
 
@@ -21,41 +21,41 @@
 pub struct HostEntry {
     /// The host.
     pub host: HostId,
-    /// Whether it stays.
+    /// Whether the host stays in service.
     pub state: HostState,
 }
 
-/// The platform's list as one read gave it.
+/// The platform's host list as returned by one read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// The list's revision; a read may give an older one than the read before.
+    /// The list's revision; a read may return an older one than the read before it.
     pub revision: Revision,
     /// The hosts.
     pub hosts: Vec<HostEntry>,
 }
 
-/// The hosts that are leaving by the newest list that was seen.
+/// The leaving hosts of the newest list that was read.
 ///
-/// Only they travel between processes: they are few, and everyone else may have work.
+/// Only leaving hosts are sent between processes: they are few, and all other hosts may get work.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LeavingHosts {
-    /// The revision of that list; 0 before any was seen.
+    /// The revision of that list; 0 before the first read.
     pub revision: Revision,
-    /// The hosts.
+    /// The leaving hosts.
     pub hosts: BTreeSet<HostId>,
 }
 
 impl LeavingHosts {
-    /// Takes over `newer` if it is, and tells whether it was; an older list undoes nothing.
-    pub fn replace_if_newer(&mut self, newer: Self) -> bool {
-        let is_newer = newer.revision > self.revision;
+    /// Replaces this list by `other` if that is newer, and returns whether it was.
+    pub fn replace_if_newer(&mut self, other: Self) -> bool {
+        let is_newer = other.revision > self.revision;
         if is_newer {
-            *self = newer;
+            *self = other;
         }
         is_newer
     }
 
-    /// Returns the leaving hosts, if they are of a newer list than `revision`.
+    /// Returns a copy of this list if it is newer than `revision`.
     pub fn newer_than(&self, revision: Revision) -> Option<Self> {
         (self.revision > revision).then(|| self.clone())
     }
--- a/reachhead_types/src/id.rs
+++ b/reachhead_types/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and ids, each a type of its own so that one can't be passed for another.
+//! Names and ids, each with a type of its own so that they can't be confused.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -9,28 +9,28 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use thiserror::Error;
 
-/// Longest name that is accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const NAME_LIMIT: usize = 63;
 
-/// Longest idempotency key that is accepted, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const KEY_LIMIT: usize = 255;
 
-/// Why a text is not a name, an id or a key.
+/// An error of parsing a name, an id or a key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty.
     #[error("is empty")]
     Empty,
-    /// The text is longer than the limit, which is given in bytes.
+    /// The text is longer than this limit in bytes.
     #[error("is longer than {0} bytes")]
     Long(usize),
-    /// A character outside the accepted set.
+    /// The text has a character outside the accepted set.
     #[error("holds {0:?}; lower-case letters, digits, '-' and '.' are accepted")]
     Character(char),
-    /// A character that can't be printed.
+    /// The text has a character that is not printable ASCII.
     #[error("holds a character that is not printable ASCII")]
     Unprintable,
-    /// The text is not a number in the expected base.
+    /// The text is not a hexadecimal number that fits the type.
     #[error("is not a number")]
     Number,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Implements serde through `Display` and `FromStr`, so that a type has one text form everywhere.
+/// Implements serde by `Display` and `FromStr`, so that a type has the same text form everywhere.
 macro_rules! serde_by_text {
     ($name:ident) => {
         impl Serialize for $name {
@@ -67,7 +67,7 @@
     };
 }
 
-/// Declares a name; its text is shared, since requests carry names around.
+/// Declares a name type; the text is reference-counted, since names are cloned for each request.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -101,7 +101,7 @@
 }
 
 name_type! {
-    /// A group: an organisation, or a part of one, that is owed a share.
+    /// A group: an organisation, or a part of one, that is entitled to a share.
     GroupName
 }
 name_type! {
@@ -117,7 +117,7 @@
     RouteName
 }
 name_type! {
-    /// A job: tasks of one kind that a group runs on the workers of a pool.
+    /// A job: a set of tasks of one kind that a group runs on the workers of a pool.
     JobName
 }
 name_type! {
@@ -129,7 +129,7 @@
     WaveName
 }
 name_type! {
-    /// A rack: hosts that fail together with its switch.
+    /// A rack: a failure domain of hosts that share a switch.
     RackName
 }
 name_type! {
@@ -137,19 +137,19 @@
     MinionId
 }
 name_type! {
-    /// A host; entry hosts and workers are named alike.
+    /// A host, which may be an entry host or run workers.
     HostId
 }
 name_type! {
-    /// A process of the system on an entry host, as its peers call it.
+    /// A process of the system on an entry host, as known to its peers.
     NodeName
 }
 name_type! {
-    /// One life of a worker: a host that runs tasks gets a new id with each start.
+    /// One incarnation of a worker: a host that runs tasks gets a new id with each start.
     WorkerId
 }
 name_type! {
-    /// A label of a worker, as its kind or its rack.
+    /// A label of a worker, such as its kind or its rack.
     Label
 }
 name_type! {
@@ -157,31 +157,32 @@
     OperatorName
 }
 name_type! {
-    /// A customer: whoever callers' keys stand for, and whom capacity is owed.
+    /// A customer: a tenant that callers' API keys belong to and that is entitled to capacity.
     CustomerName
 }
 
-/// One start of a process, drawn at random, so that a restarted process is not taken for the old.
+/// One incarnation of a process: a random number that distinguishes a restarted process from its
+/// predecessor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// One attempt to run a request that must not be repeated; drawn at random per request.
+/// One attempt to run an at-most-once request; drawn at random per request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u128);
 
-/// One configuration change; the client draws it, which makes the change idempotent.
+/// A configuration change; the id is drawn by the client, which makes the change idempotent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub u128);
 
-/// A job that a client handed in; the client draws it, which makes the submission idempotent.
+/// A submitted job; the id is drawn by the client, which makes the submission idempotent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A loan of slots between two entry hosts; the lender draws it.
+/// A loan of slots between two entry hosts; the id is drawn by the lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoanId(pub u64);
 
-/// What a request asked for, as a digest; a key stands for one request only.
+/// A digest of a request, which detects an idempotency key that is reused for another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
--- a/reachhead_types/src/lib.rs
+++ b/reachhead_types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Domain types that every program shares: ids, sizes, the fleet's rows and the error kinds.
+//! Domain types that all programs share: ids, quantities, configuration and store rows, error kinds.
 
 pub mod answer;
 pub mod boot_instant;
--- a/reachhead_types/src/member.rs
+++ b/reachhead_types/src/member.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as they know each other.
+//! Entry hosts as members of the membership list.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -9,12 +9,12 @@
 
 use crate::id::{HostId, Incarnation, ZoneName};
 
-/// One stay of an entry host on the list: a host that was taken off and comes back is another one.
+/// One incarnation of an entry host: a host that was removed from the list rejoins under a new id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
     /// The host's name.
     pub host: HostId,
-    /// Drawn anew for each stay.
+    /// Drawn at random each time the host joins.
     pub incarnation: Incarnation,
 }
 
@@ -24,25 +24,26 @@
     }
 }
 
-/// An entry host, as its row in the store describes it.
+/// An entry host as described by its row in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The host's name.
     pub host: HostId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// This stay on the list.
+    /// The incarnation since the host last joined.
     pub incarnation: Incarnation,
-    /// Counts up with each write of the row; a row that stands still is a host that is gone.
+    /// Heartbeat counter, incremented with each write of the row; a host whose counter does not
+    /// change is dead.
     pub counter: u64,
-    /// Where its control answers.
+    /// Address of the host's control process.
     pub control: SocketAddr,
-    /// Where its entry process answers other entry hosts.
+    /// Address on which the host's entry process answers other entry hosts.
     pub entry: SocketAddr,
 }
 
 impl Member {
-    /// Returns what tells this stay from the host's others.
+    /// Returns the id of this incarnation of the host.
     pub fn id(&self) -> MemberId {
         MemberId { host: self.host.clone(), incarnation: self.incarnation }
     }
--- a/reachhead_types/src/pool.rs
+++ b/reachhead_types/src/pool.rs
@@ -1,6 +1,6 @@
-//! Hosts in their pools, and the leases by which entry hosts take charge of pools.
+//! Stored rows of hosts, pool leases, maintenance waves and availability budgets.
 //!
-//! docs/POOLS.md tells how a host changes its pool and why it is always in exactly one.
+//! docs/POOLS.md describes how a host moves between pools and why it is always in exactly one.
 
 use std::{
     collections::BTreeSet,
@@ -15,30 +15,30 @@
     size::{Accelerators, Cores, Epoch, Gibibytes},
 };
 
-/// What a host has, or what a job asks for.
+/// The resources of a host, or those that a job requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
     /// Processor cores.
     pub cores: Cores,
-    /// Memory.
+    /// Memory in GiB.
     pub memory: Gibibytes,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: Accelerators,
 }
 
-/// Where a host stands on its way from pool to pool.
+/// The phase of a host in its lifecycle within a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostPhase {
-    /// It carries its pool's work.
+    /// The host runs work of its pool.
     Serving,
-    /// It takes no new work and finishes what it has.
+    /// The host takes no new work and finishes the work that it has.
     Draining,
-    /// It is empty and is being rebooted.
+    /// The host is empty and is being rebooted.
     Rebooting,
-    /// It is in its pool and takes no work yet.
+    /// The host is in its pool but takes no work yet.
     Arriving,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A host's row: the one place that says which pool it is in.
+/// A host's row, which is the only record of the pool that the host is in.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostRow {
@@ -61,34 +61,34 @@
     pub zone: ZoneName,
     /// Its rack.
     pub rack: RackName,
-    /// What it has.
+    /// Its resources.
     pub resources: Resources,
-    /// The pool it is in.
+    /// Its current pool.
     pub pool: PoolName,
-    /// How often it has changed its pool.
+    /// Number of moves between pools so far.
     #[serde(default)]
     pub epoch: Epoch,
-    /// Where it stands.
+    /// Its phase.
     pub phase: HostPhase,
-    /// The pool that operators want it in; `None` leaves it where it is.
+    /// The pool that operators requested a move to; `None` if no move is pending.
     #[serde(rename = "want", default, skip_serializing_if = "Option::is_none")]
     pub target_pool: Option<PoolName>,
-    /// The wave that it is drained for; `None` while it is not, or is drained to be moved.
+    /// The wave that the host is drained for; `None` if it is not drained or is drained for a move.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub wave: Option<WaveName>,
-    /// The last wave that it has been through.
+    /// The last wave that finished on the host.
     #[serde(rename = "done", default, skip_serializing_if = "Option::is_none")]
     pub last_wave: Option<WaveName>,
-    /// The services whose budgets its drain spends.
+    /// The services whose availability budgets the host's drain uses.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub spent: BTreeSet<ServiceName>,
-    /// How often it had been booted when its reboot was due.
+    /// Number of boots before the requested reboot, which detects that the reboot is done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boots: Option<u64>,
 }
 
 impl HostRow {
-    /// Returns the row of a host that serves in `pool`.
+    /// Returns the row of a new host that serves in `pool`.
     pub fn new(zone: ZoneName, rack: RackName, resources: Resources, pool: PoolName) -> Self {
         Self {
             zone,
@@ -106,15 +106,15 @@
     }
 }
 
-/// Whether a wave goes on.
+/// The state of a maintenance wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaveState {
-    /// It goes on.
+    /// The wave processes hosts.
     Running,
-    /// Nothing new is begun; what is under way is finished.
+    /// No further hosts are started; hosts in progress are finished.
     Paused,
-    /// Nothing new is begun, and drains that are not done are taken back.
+    /// No further hosts are started, and unfinished drains are undone.
     Cancelled,
 }
 
@@ -128,27 +128,27 @@
     }
 }
 
-/// The wave of a pool; there is one at a time.
+/// The maintenance wave of a pool; a pool has at most one at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveRow {
-    /// Its name; waves of several pools may share one.
+    /// Its name; waves of several pools may share a name.
     pub name: WaveName,
-    /// Whether it goes on.
+    /// Its state.
     pub state: WaveState,
 }
 
-/// What of a service's availability budget is spent on planned work.
+/// The part of a service's availability budget that planned work uses.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct BudgetRow {
-    /// The hosts that may be unavailable.
+    /// The hosts that may be unavailable because of planned work.
     pub held: BTreeSet<HostId>,
 }
 
-/// Who is in charge of a pool.
+/// The lease of a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// The entry host in charge, in one stay on the list; `None` once it has handed the pool over.
+    /// The incarnation of the entry host that owns the pool; `None` after it released the pool.
     pub owner: Option<MemberId>,
-    /// How often the pool has changed hands.
+    /// Number of ownership changes so far.
     pub epoch: Epoch,
 }
--- a/reachhead_types/src/scope.rs
+++ b/reachhead_types/src/scope.rs
@@ -1,7 +1,7 @@
-//! What an operator may read and change: the whole tree, or the subtree of one group.
+//! Permissions of operators: the whole tree of groups, or the subtree of one group.
 //!
-//! Rivals share one configuration, so each row has owners who must all agree to a change, and one
-//! reader. docs/API.md gives the table to operators.
+//! Competing groups share one configuration. Each row therefore has owners, all of whom must allow a
+//! change, and one owner whose operators may read it. docs/API.md has the table for operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,27 +12,27 @@
     tree::Tree,
 };
 
-/// How far an operator's word goes.
+/// The part of the tree of groups that an operator may administer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Scope {
-    /// Everything.
+    /// The whole tree.
     Tree,
-    /// A group and all below it.
+    /// A group and its descendants.
     Group(GroupName),
 }
 
-/// Whose operators a row needs for a change.
+/// The owner of a row, whose operators may change or read it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Owner {
-    /// Those of the whole tree.
+    /// Only operators of the whole tree.
     Tree,
-    /// Those of this group or of one above it.
+    /// Operators of this group or of one of its ancestors.
     Group(GroupName),
 }
 
 impl Scope {
-    /// Tells whether this scope reaches `group`; one whose own group is gone reaches nothing.
+    /// Returns whether `group` is within this scope; the scope of a deleted group is empty.
     pub fn contains(&self, tree: &Tree, group: &GroupName) -> bool {
         let Self::Group(own) = self else {
             return true;
@@ -50,7 +50,7 @@
         false
     }
 
-    /// Tells whether this scope's word is enough for what `owner` owns.
+    /// Returns whether this scope has the permissions of `owner`.
     pub fn covers(&self, tree: &Tree, owner: &Owner) -> bool {
         match owner {
             Owner::Tree => *self == Self::Tree,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Tells whether an operator of this scope may read the row of `key`.
+    /// Returns whether an operator of this scope may read the row of `key`.
     pub fn can_read(&self, fleet: &Fleet, key: &RowKey) -> bool {
         match reader(fleet, key) {
             Some(owner) => self.covers(&fleet.tree, &owner),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns those of `keys` whose change from `before` to `after` needs more than this scope.
+    /// Returns those of `keys` whose change from `before` to `after` this scope does not allow.
     pub fn denied(&self, before: &Fleet, after: &Fleet, keys: &[RowKey]) -> Vec<RowKey> {
         let covered = |fleet: &Fleet, owners: Vec<Owner>| {
             owners.iter().all(|owner| self.covers(&fleet.tree, owner))
@@ -79,7 +79,7 @@
     }
 }
 
-/// Returns whose operators may read a row; `None` if there is no such row.
+/// Returns the owner whose operators may read a row; `None` if there is no such row.
 pub fn reader(fleet: &Fleet, key: &RowKey) -> Option<Owner> {
     let group = match key {
         RowKey::Group(name) => fleet.tree.get(name).map(|_| name),
@@ -99,7 +99,9 @@
     group.cloned().map(Owner::Group)
 }
 
-/// Returns whose operators may read a change of a row: those who may read it on both sides.
+/// Returns the owner whose operators may read a change of a row.
+///
+/// If the row has different readers before and after the change, that is the whole tree.
 pub fn change_reader(before: &Fleet, after: &Fleet, key: &RowKey) -> Owner {
     match (reader(before, key), reader(after, key)) {
         (Some(before), Some(after)) if before == after => after,
@@ -108,7 +110,7 @@
     }
 }
 
-/// Returns all whose operators must agree to a change of a row; none if there is no such row.
+/// Returns the owners that must all allow a change of a row; none if there is no such row.
 fn owners(fleet: &Fleet, key: &RowKey) -> Vec<Owner> {
     let mut owners: Vec<Owner> = reader(fleet, key).into_iter().collect();
     match key {
@@ -116,7 +118,7 @@
             let service = fleet.services.get(name);
             owners.extend(service.and_then(|service| pool_owner(fleet, service)));
         }
-        // Who may be called from where is for the called service's group to say.
+        // The group of the called service decides which routes lead to it.
         RowKey::Route(name) => {
             let route = fleet.routes.get(name);
             let service = route.and_then(|route| fleet.services.get(&route.service));
@@ -127,19 +129,20 @@
     owners
 }
 
-/// Returns who must agree that a service uses its pool: nobody, if the pool belongs to the service's
-/// own group or to one above it.
+/// Returns the owner that must allow a service to use its pool; `None` if the pool belongs to the
+/// service's own group or to one of its ancestors.
 fn pool_owner(fleet: &Fleet, service: &Service) -> Option<Owner> {
     let pool = fleet.pools.get(&service.row.pool)?;
-    let shared = Scope::Group(pool.group.clone());
-    let is_own = shared.contains(&fleet.tree, &service.row.group);
+    let pool_scope = Scope::Group(pool.group.clone());
+    let is_own = pool_scope.contains(&fleet.tree, &service.row.group);
     (!is_own).then(|| Owner::Group(pool.group.clone()))
 }
 
-/// Returns who must agree to a change of a group's row.
+/// Returns the owner that must allow a change of a group's row.
 ///
-/// Each group that exists draws a share, and its weight is measured against its rivals': making,
-/// moving, weighing and deleting groups is for the whole tree, all other settings are the group's own.
+/// Each group gets a share in proportion to its weight relative to its siblings. Creating, moving,
+/// weighting and deleting groups therefore needs an operator of the whole tree; the group's own
+/// operators may change all other settings.
 fn group_owner(before: &Fleet, after: &Fleet, group: &GroupName) -> Owner {
     let row = |fleet: &Fleet| fleet.tree.get(group).map(|node| node.row.clone());
     let is_same_share = match (row(before), row(after)) {
@@ -152,7 +155,7 @@
     }
 }
 
-/// What of a group's row decides on its share.
+/// The part of a group's row that determines its share.
 #[derive(PartialEq)]
 struct Share {
     parent: Option<GroupName>,
--- a/reachhead_types/src/size.rs
+++ b/reachhead_types/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes, counts and rates with their units in the type.
+//! Quantities, versions and counters, each with a type of its own.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -55,11 +55,11 @@
     Millis, u64
 }
 count_type! {
-    /// A version of the configuration; it only goes up.
+    /// Version of the configuration; it only increases.
     Version, u64
 }
 count_type! {
-    /// How often something has changed hands; whoever acts by an older epoch acts too late.
+    /// Number of ownership changes so far; actions under an older epoch are rejected.
     Epoch, u64
 }
 count_type! {
@@ -75,24 +75,24 @@
     Accelerators, u32
 }
 count_type! {
-    /// The number of a task's run; each start of the task has a higher one.
+    /// Number of a task's run, which increases with each start of the task.
     RunNumber, u64
 }
 count_type! {
-    /// A fencing token: who receives an order ignores it after one with a higher token.
+    /// A fencing token: an order is ignored after an order with a higher token.
     FencingToken, u64
 }
 count_type! {
-    /// How much a process bears: the starts of tasks a second that its processor and its link allow.
+    /// Capacity weight of a process: the task starts per second that its processor and link allow.
     Strength, u32
 }
 count_type! {
-    /// The revision that the store gave to a row when it was last written.
+    /// Revision that the store assigned to the last write of a row.
     Revision, u64
 }
 
 impl Millis {
-    /// Returns the duration that the clock functions take.
+    /// Returns the value as a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
--- a/reachhead_types/src/snapshot.rs
+++ b/reachhead_types/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! The configuration rows of one version, and the deltas by which processes hand them on.
+//! Snapshots of the configuration rows, and the deltas by which processes propagate them.
 //!
-//! Every process that follows the configuration keeps a [`ConfigSnapshot`]. Versions only go up in it, from
-//! whichever side a delta comes; docs/CONFIGURATION.md tells how it spreads.
+//! Every process that follows the configuration keeps a [`ConfigSnapshot`]. Its version only
+//! increases, in whatever order deltas arrive; docs/CONFIGURATION.md describes the propagation.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,39 +11,39 @@
 
 use crate::{fleet::RowKey, size::Version};
 
-/// Deleted rows that are remembered, so that deltas can carry the deletion.
-const DELETED_LIMIT: usize = 4096;
+/// Maximum number of tombstones, which are kept so that deltas include deletions.
+const MAX_TOMBSTONES: usize = 4096;
 
-/// A row as a version left it.
+/// The latest change of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The row's key.
     pub key: RowKey,
-    /// The row's value; `None` is a deletion. It is shared, since deltas are made and handed on all
-    /// the time.
+    /// The row's value; `None` for a deletion. The value is shared, since deltas are created and
+    /// forwarded often.
     pub value: Option<Arc<Value>>,
-    /// The version that wrote it.
+    /// The version that wrote the row.
     pub version: Version,
 }
 
-/// All changes after one version up to another.
+/// The changes from one version to a later one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version that it builds on; version 0 is the empty configuration.
+    /// The base version; version 0 is the empty configuration.
     pub from: Version,
-    /// The version that it leads to.
+    /// The version that results from the changes.
     pub to: Version,
-    /// The last change of each row that changed.
+    /// The latest change of each changed row.
     pub changes: Vec<Change>,
 }
 
-/// A delta builds on a version that the book has not reached.
+/// A delta is based on a later version than that of the snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the delta builds on version {from}, the book is at {have}")]
 pub struct GapError {
-    /// What the delta builds on.
+    /// The base version of the delta.
     pub from: Version,
-    /// What the book has.
+    /// The version of the snapshot.
     pub have: Version,
 }
 
@@ -58,13 +58,14 @@
 pub struct ConfigSnapshot {
     version: Version,
     entries: BTreeMap<RowKey, Entry>,
-    /// No deletion up to this version is remembered any more.
+    /// The newest version whose tombstones may have been dropped.
     floor: Version,
-    deleted: usize,
+    /// Number of entries that are tombstones.
+    tombstones: usize,
 }
 
 impl ConfigSnapshot {
-    /// Returns the empty book of version 0.
+    /// Returns the empty snapshot of version 0.
     pub fn new() -> Self {
         Self::default()
     }
@@ -74,7 +75,7 @@
         self.version
     }
 
-    /// Returns the rows in the order of their keys.
+    /// Returns the rows in key order.
     pub fn rows(&self) -> impl Iterator<Item = (&RowKey, &Value)> {
         self.entries.iter().filter_map(|(key, entry)| Some((key, entry.value.as_deref()?)))
     }
@@ -84,7 +85,7 @@
         self.entries.get(key)?.value.as_deref()
     }
 
-    /// Returns the version that wrote the row of `key`; 0 where there is no such row.
+    /// Returns the version that wrote the row of `key`; 0 if there is no such row.
     pub fn row_version(&self, key: &RowKey) -> Version {
         match self.entries.get(key) {
             Some(entry) if entry.value.is_some() => entry.version,
@@ -92,17 +93,17 @@
         }
     }
 
-    /// Returns what changed after `from`, or everything where that is not known any more.
+    /// Returns the changes after `from`, or all rows if the deletions since then are not all known.
     pub fn since(&self, from: Version) -> Delta {
         let from = if from < self.floor { Version(0) } else { from };
-        let changed = |entry: &Entry| match from.0 {
+        let is_included = |entry: &Entry| match from.0 {
             0 => entry.value.is_some(),
             _ => entry.version > from,
         };
         let changes = self
             .entries
             .iter()
-            .filter(|(_, entry)| changed(entry))
+            .filter(|(_, entry)| is_included(entry))
             .map(|(key, entry)| Change {
                 key: key.clone(),
                 value: entry.value.clone(),
@@ -112,11 +113,11 @@
         Delta { from, to: self.version, changes }
     }
 
-    /// Applies `delta` and tells whether the version went up; an older delta changes nothing.
+    /// Applies `delta` and returns whether the version increased; an older delta is ignored.
     ///
     /// # Errors
     ///
-    /// Fails if versions between the book's and the delta's start are missing.
+    /// Fails if the delta's base version is later than the version of the snapshot.
     pub fn apply(&mut self, delta: &Delta) -> Result<bool, GapError> {
         if delta.to <= self.version {
             return Ok(false);
@@ -125,31 +126,31 @@
             return Err(GapError { from: delta.from, have: self.version });
         }
         if delta.from.0 == 0 {
-            // A whole configuration: what it does not name is not there.
+            // The delta is a full configuration: rows that it does not include don't exist.
             *self = Self { floor: delta.to, ..Self::default() };
         }
         for change in &delta.changes {
-            self.put(change);
+            self.apply_change(change);
         }
         self.version = delta.to;
-        self.forget_deleted();
+        self.prune_tombstones();
         Ok(true)
     }
 
-    fn put(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         let entry = Entry { value: change.value.clone(), version: change.version };
         let is_deleted = entry.value.is_none();
         let before = self.entries.insert(change.key.clone(), entry);
         let was_deleted = before.is_some_and(|entry| entry.value.is_none());
-        self.deleted = self.deleted + usize::from(is_deleted) - usize::from(was_deleted);
+        self.tombstones = self.tombstones + usize::from(is_deleted) - usize::from(was_deleted);
     }
 
-    fn forget_deleted(&mut self) {
-        if self.deleted <= DELETED_LIMIT {
+    fn prune_tombstones(&mut self) {
+        if self.tombstones <= MAX_TOMBSTONES {
             return;
         }
         self.entries.retain(|_, entry| entry.value.is_some());
         self.floor = self.version;
-        self.deleted = 0;
+        self.tombstones = 0;
     }
 }
--- a/reachhead_types/src/token.rs
+++ b/reachhead_types/src/token.rs
@@ -1,4 +1,6 @@
-//! Digests of operators' tokens and callers' keys, so that no row, settings file, log or dump of this system holds one.
+//! Digests of operators' tokens and callers' API keys.
+//!
+//! Only digests are kept, so that no row, settings file, log or dump contains a token or a key.
 
 use std::fmt::{self, Debug, Formatter};
 
@@ -6,10 +8,10 @@
 
 use crate::id::OperatorName;
 
-/// What stands between an operator's name and the secret in a token.
+/// Separator between the operator's name and the secret in a token.
 pub const TOKEN_SEPARATOR: char = ':';
 
-/// Returns SHA-256 of `salt` followed by `token`, in base 16.
+/// Returns the SHA-256 digest of `salt` followed by `token`, in lower-case hexadecimal.
 pub fn digest(salt: &str, token: &str) -> String {
     let mut hasher = Sha256::new();
     hasher.update(salt.as_bytes());
@@ -17,13 +19,15 @@
     hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns the operator that a token names; the one token of the settings names none.
+/// Returns the operator that a token names; `None` for the token of the settings file.
 pub fn operator(token: &str) -> Option<OperatorName> {
     token.split_once(TOKEN_SEPARATOR)?.0.parse().ok()
 }
 
-/// The digest of a caller's key. Keys are drawn at random and long, so they need no salt, and one digest a call finds the
-/// customer among many.
+/// The digest of a caller's API key.
+///
+/// Keys are long and random, so they need no salt. Without a salt, one digest per call is enough to
+/// look up the customer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest([u8; 32]);
 
@@ -34,7 +38,7 @@
     }
 }
 
-/// Shows the first bytes, which tell keys apart in a dump and are of no use to a caller.
+/// Prints the first four bytes, which identify a key in a dump but don't allow its use.
 impl Debug for KeyDigest {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let [a, b, c, d, ..] = self.0;
--- a/reachhead_types/src/tree.rs
+++ b/reachhead_types/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree of groups: each inherits its parent's settings and overrides only what differs.
+//! The tree of groups, in which each group inherits its parent's settings unless it overrides them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,20 +11,20 @@
     size::{Millis, Weight},
 };
 
-/// Weight of a group that inherits none.
+/// Weight of a group where neither the group nor an ancestor sets one.
 pub const DEFAULT_WEIGHT: Weight = Weight(1);
 
-/// Deadline of a request where no group sets one, in milliseconds.
+/// Deadline of a request where no group sets one.
 pub const DEFAULT_DEADLINE: Millis = Millis(10_000);
 
-/// Requests of a group that may wait at one entry host for one service, where no group sets it.
+/// Queue limit of a group for one service at one entry host where no group sets one, in requests.
 pub const DEFAULT_QUEUE: u32 = 256;
 
-/// Declares the settings once: what a group may override, what is in force, and how one makes the
-/// other. A setting that stood in three lists would one day miss in one of them.
+/// Generates the types of overrides, effective settings and their origins from one list of settings,
+/// so that no setting can be missing from one of them.
 macro_rules! settings {
     ($($(#[$doc:meta])* $field:ident: $kind:ty = $default:expr;)*) => {
-        /// What a group sets itself; `None` inherits.
+        /// The settings that a group overrides; `None` inherits.
         #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct Overrides {
@@ -32,7 +32,7 @@
             pub $field: Option<$kind>,)*
         }
 
-        /// What is in force for a group.
+        /// The effective settings of a group.
         #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
         pub struct Effective {
             $($(#[$doc])* pub $field: $kind,)*
@@ -45,13 +45,13 @@
         }
 
         impl Effective {
-            /// Returns these settings as a child sees them that overrides `own`.
+            /// Returns the effective settings of a child with the overrides `own`.
             fn with_overrides(&self, own: &Overrides) -> Self {
                 Self { $($field: own.$field.clone().unwrap_or_else(|| self.$field.clone()),)* }
             }
         }
 
-        /// The group that each setting in force comes from; `None` is the built-in default.
+        /// The group that each effective setting comes from; `None` is the built-in default.
         #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
         pub struct Origins {
             $($(#[$doc])* pub $field: Option<GroupName>,)*
@@ -71,47 +71,47 @@
 }
 
 settings! {
-    /// Share of the group against its rivals, without unit.
+    /// Weight of the group's share relative to its siblings, without unit.
     weight: Weight = DEFAULT_WEIGHT;
     /// Deadline of a request, in milliseconds.
     deadline: Millis = DEFAULT_DEADLINE;
-    /// Requests that may wait at one entry host for one service.
+    /// Maximum number of requests queued at one entry host for one service.
     queue: u32 = DEFAULT_QUEUE;
 }
 
-/// A fault of one group's row.
+/// A validation error in one group's row.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{group}: {text}")]
 pub struct TreeError {
-    /// The group at fault.
+    /// The invalid group.
     pub group: GroupName,
-    /// What is wrong, for the operator.
+    /// Description of the error for the operator.
     pub text: String,
 }
 
-/// One group as the tree sees it.
+/// One group with its effective settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Node {
     /// The group's own row.
     pub row: GroupRow,
-    /// The settings in force.
+    /// The effective settings.
     pub effective: Effective,
-    /// Where each of them comes from.
+    /// The group that each of them comes from.
     pub origins: Origins,
 }
 
-/// All groups with their effective settings, which are worked out once a version.
+/// All groups with their effective settings, which are computed once per version.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Tree {
     nodes: BTreeMap<GroupName, Node>,
 }
 
 impl Tree {
-    /// Builds the tree and works out what is in force for each group.
+    /// Builds the tree and computes the effective settings of each group.
     ///
     /// # Errors
     ///
-    /// Returns a fault for each group whose parent is missing, whose ancestors form a ring, or
+    /// Returns an error for each group whose parent is missing, whose ancestors form a cycle, or
     /// whose settings are out of range.
     pub fn new(rows: BTreeMap<GroupName, GroupRow>) -> Result<Self, Vec<TreeError>> {
         let faults = check(&rows);
@@ -130,17 +130,17 @@
         self.nodes.get(group)
     }
 
-    /// Tells whether `group` exists.
+    /// Returns whether `group` exists.
     pub fn contains(&self, group: &GroupName) -> bool {
         self.nodes.contains_key(group)
     }
 
-    /// Tells whether there is no group at all.
+    /// Returns whether there are no groups.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Returns the groups in the order of their names.
+    /// Returns the groups, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&GroupName, &Node)> {
         self.nodes.iter()
     }
@@ -193,7 +193,7 @@
     let mut group = name;
     while let Some(parent) = &rows[group].parent {
         if !rows.contains_key(parent) {
-            // The fault belongs to the row that names the missing parent, not to its children.
+            // Only the row that names the missing parent is invalid, not its descendants.
             return (group == name).then(|| format!("there is no parent group {parent}"));
         }
         if !seen.insert(parent) {
--- a/reachhead_types/tests/boot_instant.rs
+++ b/reachhead_types/tests/boot_instant.rs
@@ -1,4 +1,4 @@
-//! The clock by which leases are counted.
+//! The boot-time clock that leases use.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -6,24 +6,27 @@
 
 use reachhead_types::boot_instant::BootInstant;
 
-/// The system's uptime has the time in which the host was suspended, and so must the clock.
+/// The system's uptime includes the time in which the host was suspended, and so must the clock.
 #[test]
-fn the_clock_counts_what_the_system_counts_as_its_uptime() {
+fn the_clock_matches_the_system_uptime() {
     let uptime = || -> Duration {
         let text = fs::read_to_string("/proc/uptime").unwrap();
         let seconds = text.split(' ').next().unwrap().parse().unwrap();
         Duration::from_secs_f64(seconds)
     };
     let before = uptime();
-    let shown = BootInstant::now().duration_since(BootInstant::default());
+    let reading = BootInstant::now().duration_since(BootInstant::default());
     let after = uptime();
-    // The file is cut to hundredths of a second.
+    // /proc/uptime is truncated to hundredths of a second.
     let slack = Duration::from_millis(10);
-    assert!(before <= shown + slack && shown <= after + slack, "{before:?} {shown:?} {after:?}");
+    assert!(
+        before <= reading + slack && reading <= after + slack,
+        "{before:?} {reading:?} {after:?}"
+    );
 }
 
 #[test]
-fn spans_are_never_negative() {
+fn durations_are_never_negative() {
     let now = BootInstant::now();
     thread::sleep(Duration::from_millis(2));
     assert!(now.elapsed() >= Duration::from_millis(2));
--- a/reachhead_types/tests/error.rs
+++ b/reachhead_types/tests/error.rs
@@ -1,11 +1,11 @@
-//! The table of outcomes: complete, consistent, and the same as in the docs.
+//! The table of error kinds is consistent and the same as in docs/OUTCOMES.md.
 
 use std::{collections::BTreeSet, fs, path::Path};
 
 use reachhead_types::error::{ErrorKind, Outcome};
 
 #[test]
-fn the_page_has_every_kind_with_its_answer_and_no_other() {
+fn docs_list_exactly_the_error_kinds_and_their_answers() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OUTCOMES.md");
     let text = fs::read_to_string(path).expect("the page is there");
     let rows = text.lines().filter(|line| line.starts_with("| `"));
@@ -23,14 +23,18 @@
 }
 
 #[test]
-fn what_is_overload_or_outage_says_when_to_come_back() {
+fn server_errors_have_a_retry_after() {
     for kind in ErrorKind::ALL {
         let answer = kind.answer();
         if answer.status >= 500 {
-            assert!(answer.retry_after.is_some(), "{kind} leaves the caller without a time");
+            assert!(answer.retry_after.is_some(), "{kind} has no Retry-After");
         }
-        let is_caller = (400..500).contains(&answer.status) && answer.retry_after.is_none();
-        let is_told = answer.outcome == Outcome::NotRun || answer.status == 409;
-        assert!(!is_caller || is_told, "{kind} blames the caller for what may have run");
+        let is_final_client_error =
+            (400..500).contains(&answer.status) && answer.retry_after.is_none();
+        let has_known_outcome = answer.outcome == Outcome::NotRun || answer.status == 409;
+        assert!(
+            !is_final_client_error || has_known_outcome,
+            "{kind} is a client error, but the request may have run"
+        );
     }
 }
--- a/reachhead_types/tests/hosts.rs
+++ b/reachhead_types/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! Stale reads of the host list, in any order: the newest list that was seen counts.
+//! Reads of the host list that are stale and out of order.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -26,7 +26,7 @@
             let index = usize::from(read) % lists.len();
             known.replace_if_newer(LeavingHosts::from(&lists[index]));
             newest = newest.max(Some(index));
-            // The naive version: look the newest list up anew.
+            // The model: the leaving hosts of the newest list read so far.
             newest.is_some_and(|newest| known == LeavingHosts::from(&lists[newest]))
         })
     }
--- a/reachhead_types/tests/snapshot.rs
+++ b/reachhead_types/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! The book of configuration rows against a plain map, with deltas in any order.
+//! Configuration snapshots with deltas in any order, compared with a plain map.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -16,7 +16,7 @@
     format!("pool/p{}", number % 8).parse().unwrap()
 }
 
-/// One change a version; `None` deletes.
+/// Returns deltas with one change per version; `None` deletes the row.
 fn history(changes: &[(u8, Option<u8>)]) -> Vec<Delta> {
     let delta = |(index, &(row, value)): (usize, &(u8, Option<u8>))| {
         let (from, to) = (Version(index as u64), Version(index as u64 + 1));
@@ -59,7 +59,7 @@
             .collect();
         let mut snapshot = ConfigSnapshot::new();
         order.into_iter().all(|(from, to)| {
-            // A delta as any process may hand it on: between any two versions, early, late, twice.
+            // Any process may send a delta between any two versions, early, late or twice.
             let to = usize::from(to) % snapshots.len();
             let from = usize::from(from) % (to + 1);
             let delta = snapshots[to].since(Version(from as u64));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_whole_configuration_takes_the_place_of_everything() {
+fn a_full_delta_replaces_all_rows() {
     let history = history(&[(1, Some(1)), (2, Some(2)), (1, None)]);
     let mut newest = ConfigSnapshot::new();
     for delta in &history {
--- a/reachhead_types/tests/tree.rs
+++ b/reachhead_types/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree of settings against a naive resolver that walks to the root for each setting.
+//! The tree of groups, compared with a naive resolver that walks to the root for each setting.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -18,7 +18,7 @@
 
 type Drawn = (u8, Option<u8>, Option<u8>, Option<u8>);
 
-/// Each group's parent is an earlier one, so that there is no ring.
+/// Derives rows in which each group's parent is an earlier one, so that there is no cycle.
 fn rows(drawn: &[Drawn]) -> BTreeMap<GroupName, GroupRow> {
     let row = |(number, &(parent, weight, deadline, queue)): (usize, &Drawn)| {
         let parent = (number > 0 && parent % 5 > 0).then(|| name(usize::from(parent) % number));
@@ -33,8 +33,8 @@
     drawn.iter().enumerate().map(row).collect()
 }
 
-/// The naive version: the nearest group on the way to the root that sets it.
-fn walk<'r, T>(
+/// Returns the value and name of the nearest group on the way to the root that sets a setting.
+fn find_nearest<'r, T>(
     rows: &'r BTreeMap<GroupName, GroupRow>,
     group: &'r GroupName,
     get: impl Fn(&Overrides) -> Option<T>,
@@ -55,9 +55,9 @@
         let tree = Tree::new(rows.clone()).unwrap();
         rows.keys().all(|group| {
             let node = tree.get(group).unwrap();
-            let weight = walk(&rows, group, |own| own.weight);
-            let deadline = walk(&rows, group, |own| own.deadline);
-            let queue = walk(&rows, group, |own| own.queue);
+            let weight = find_nearest(&rows, group, |own| own.weight);
+            let deadline = find_nearest(&rows, group, |own| own.deadline);
+            let queue = find_nearest(&rows, group, |own| own.queue);
             node.effective.weight == weight.map_or(DEFAULT_WEIGHT, |found| found.0)
                 && node.effective.deadline == deadline.map_or(DEFAULT_DEADLINE, |found| found.0)
                 && node.effective.queue == queue.map_or(DEFAULT_QUEUE, |found| found.0)
@@ -77,7 +77,7 @@
                 (name(number), GroupRow { parent, ..GroupRow::default() })
             })
             .collect();
-        // Every group has a parent, so somewhere there is a ring or a parent that is missing.
+        // Every group has a parent, so there is a cycle or a missing parent.
         Tree::new(rows).is_err() == (count > 0)
     }
 }
