--- a/reachhead_link/src/client.rs
+++ b/reachhead_link/src/client.rs
@@ -1,4 +1,4 @@
-//! The asking side: a socket per peer, kept while the peer is asked.
+//! The client side of a link, with a cache of one socket per peer.
 
 use std::{collections::HashMap, marker::PhantomData, net::SocketAddr, time::Duration};
 
@@ -11,49 +11,59 @@
 
 use crate::server::MAX_MESSAGE_BYTES;
 
-/// Sockets that are kept at most; a host speaks with a few peers at a time.
-const SOCKET_LIMIT: usize = 16;
+/// Maximum number of cached sockets; a host talks to a few peers at a time.
+const MAX_SOCKETS: usize = 16;
 
-/// Why a question has no answer.
+/// An error of a request.
 #[derive(Debug, Error)]
 pub enum LinkClientError {
-    /// `nng` said no, or the time is over.
+    /// `nng` failed or the request timed out.
     #[error("no answer: {0}")]
     Nng(#[from] nng::Error),
-    /// The question or the answer is not what was expected.
+    /// The request can't be serialized, or the reply can't be parsed.
     #[error("unreadable: {0}")]
     Codec(#[from] serde_json::Error),
 }
 
-/// Asks peers, one question at a time; it blocks, so it belongs on a thread of its own.
-pub struct LinkClient<Q, A> {
+/// A client that sends requests to peers, one at a time.
+///
+/// It blocks, so it must run on a thread of its own.
+pub struct LinkClient<Request, Reply> {
     sockets: HashMap<SocketAddr, Socket>,
     timeout: Duration,
-    types: PhantomData<fn(Q) -> A>,
+    types: PhantomData<fn(Request) -> Reply>,
 }
 
-impl<Q: Serialize, A: DeserializeOwned> LinkClient<Q, A> {
-    /// Returns a client that waits `timeout` for each answer.
+impl<Request: Serialize, Reply: DeserializeOwned> LinkClient<Request, Reply> {
+    /// Returns a client that waits up to `timeout` for each reply.
     pub fn new(timeout: Duration) -> Self {
         Self { sockets: HashMap::new(), timeout, types: PhantomData }
     }
 
-    /// Asks the process at `address`.
+    /// Sends a request to the process at `address` and returns its reply.
     ///
     /// # Errors
     ///
-    /// Fails if there is no readable answer in time; whether the question arrived is then unknown.
-    pub fn request(&mut self, address: SocketAddr, question: &Q) -> Result<A, LinkClientError> {
-        let result = self.exchange(address, question);
+    /// Fails if no valid reply arrives in time; the peer may have processed the request all the same.
+    pub fn request(
+        &mut self,
+        address: SocketAddr,
+        request: &Request,
+    ) -> Result<Reply, LinkClientError> {
+        let result = self.exchange(address, request);
         if result.is_err() {
-            // A fresh socket forgets the question; the old one would repeat it for ever.
+            // Drop the socket, which would otherwise resend the request for ever.
             self.sockets.remove(&address);
         }
         result
     }
 
-    fn exchange(&mut self, address: SocketAddr, question: &Q) -> Result<A, LinkClientError> {
-        let body = serde_json::to_vec(question)?;
+    fn exchange(
+        &mut self,
+        address: SocketAddr,
+        request: &Request,
+    ) -> Result<Reply, LinkClientError> {
+        let body = serde_json::to_vec(request)?;
         let socket = self.socket(address)?;
         socket.send(Message::from(body.as_slice())).map_err(|(_, error)| error)?;
         let reply = socket.recv()?;
@@ -64,7 +74,7 @@
         if let Some(socket) = self.sockets.get(&address) {
             return Ok(socket.clone());
         }
-        if self.sockets.len() >= SOCKET_LIMIT {
+        if self.sockets.len() >= MAX_SOCKETS {
             self.sockets.clear();
         }
         let socket = Socket::new(Protocol::Req0)?;
--- a/reachhead_link/src/lib.rs
+++ b/reachhead_link/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between the system's own processes: what is said, and `nng` that carries it.
+//! Request-reply messaging between the system's own processes, over `nng`.
 //!
-//! Requests and replies are JSON. No caller's request ever waits for a message here, except a
-//! repeated one whose claim another entry host holds; docs/DESIGN.md gives the reason.
+//! Requests and replies are JSON. No caller's request waits for such a message, except a repeated one
+//! whose claim is held by another entry host; docs/DESIGN.md gives the reason.
 
 pub mod client;
 pub mod message;
--- a/reachhead_link/src/message.rs
+++ b/reachhead_link/src/message.rs
@@ -1,4 +1,4 @@
-//! What the processes say to each other.
+//! The messages between the system's own processes.
 
 use reachhead_types::{
     answer::KeptAnswer,
@@ -10,166 +10,166 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Tells lists of entry hosts apart without sending them.
+/// An identifier of a list of entry hosts, used to compare lists without sending them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStamp {
     /// The store's revision when the list was read.
     pub revision: Revision,
-    /// Digest of the hosts on it.
+    /// Digest of the hosts on the list.
     pub digest: u64,
 }
 
-/// A list of entry hosts.
+/// The membership list of entry hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberList {
-    /// The hosts in the order of their names.
+    /// The hosts, ordered by name.
     pub members: Vec<Member>,
-    /// The store's revision when it was read.
+    /// The store's revision when the list was read.
     pub revision: Revision,
 }
 
-/// A question to a control process.
+/// A request to a control process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ControlRequest {
-    /// The entry process of the same host wants what is new.
+    /// The entry process of the same host requests updates.
     Follow {
-        /// The version that it has.
+        /// The configuration version of the entry process.
         have: Version,
-        /// The revision of the platform's host list that it has.
+        /// The revision of its copy of the platform's host list.
         hosts: Revision,
     },
-    /// A peer tells its version and hands on what it just learned.
+    /// A gossip round of a peer, which reports its versions and forwards new changes.
     Gossip {
-        /// The version that it has.
+        /// The configuration version of the peer.
         have: Version,
-        /// What it learned since its last round; empty in a quiet one.
+        /// The changes that the peer received since its last round, if any.
         delta: Option<Delta>,
-        /// The list of entry hosts that it has.
+        /// The peer's list of entry hosts.
         list: ListStamp,
-        /// The revision of the platform's host list that it has.
+        /// The revision of the peer's copy of the platform's host list.
         hosts: Revision,
     },
-    /// An operator's tool asks which version is in force here.
+    /// An operator's tool requests the configuration version of this host.
     Status,
 }
 
-/// A control process's answer.
+/// A control process's reply.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ControlReply {
-    /// What the entry process should know.
+    /// Updates for the entry process.
     Follow(Box<FollowReply>),
-    /// What the peer lacks.
+    /// Updates for the peer.
     Gossip(Box<GossipReply>),
-    /// The state of this host.
+    /// The status of this host.
     Status(StatusReply),
 }
 
-/// What a peer lacks.
+/// A reply to a gossip round, with what is newer than the peer's state.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GossipReply {
     /// Configuration changes after the peer's version.
     pub delta: Option<Delta>,
-    /// A newer list of entry hosts.
+    /// The list of entry hosts, if it is newer than the peer's.
     pub list: Option<MemberList>,
-    /// The leaving hosts of a newer host list.
+    /// The leaving hosts, if they are of a newer host list than the peer's.
     pub leaving: Option<LeavingHosts>,
-    /// Whether the store did not answer the peer's last call.
+    /// Whether the store did not answer the last call of the replying process.
     #[serde(rename = "is_blind")]
     pub is_cut_off: bool,
-    /// How old the peer's list is at most.
+    /// Maximum age of the replying process's list of entry hosts; `None` if it never confirmed one.
     pub age: Option<Millis>,
 }
 
-/// What the entry process should know.
+/// A reply to the entry process of the same host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FollowReply {
-    /// The configuration since the version that was named; `None` where that is the newest.
+    /// The configuration changes after the requested version; `None` if that is the newest.
     pub delta: Option<Delta>,
-    /// The leaving hosts of a newer host list.
+    /// The leaving hosts, if they are of a newer host list.
     pub leaving: Option<LeavingHosts>,
-    /// The entry hosts on the list, in the order of their names.
+    /// The members, ordered by name.
     pub members: Vec<Member>,
-    /// This host's place on the list; `None` while it has none.
+    /// The id of this host's own membership; `None` if it is not a member.
     pub own: Option<MemberId>,
-    /// The longest time in which every entry host notices a new list.
+    /// Maximum time until every entry host notices a new list.
     pub notice: Millis,
-    /// How old the list is at most: the age of the last look that found it the newest; `None` if
-    /// there was none.
+    /// Maximum age of the list: the time since the last check that confirmed it as the newest; `None`
+    /// if there was no such check.
     pub age: Option<Millis>,
 }
 
-/// The state of one host's control.
+/// The configuration status of one host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusReply {
     /// The host.
     pub host: HostId,
-    /// The version that its control has.
+    /// The version of its control process.
     pub version: Version,
-    /// The version that its entry process said it has.
+    /// The version that its entry process last reported.
     pub entry: Version,
 }
 
-/// A question to an entry process.
+/// A request to an entry process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EntryRequest {
-    /// Another entry host met a claim of this process and asks what became of it.
+    /// Another entry host found a claim of this process and requests the state of its attempt.
     Claim {
         /// The incarnation that made the claim.
         incarnation: Incarnation,
-        /// The attempt that the claim names.
+        /// The attempt that holds the claim.
         attempt: AttemptId,
     },
-    /// Another entry host has more to do than its slots allow.
+    /// Another entry host requests a loan of slots, since it has more requests than slots.
     Borrow {
         /// The service.
         service: ServiceName,
-        /// Slots that it could use.
+        /// Number of slots that the borrower could use.
         want: u32,
     },
-    /// Another entry host has no request left on what it borrowed.
+    /// Another entry host returns a loan, on whose slots none of its requests run any more.
     Return {
         /// The loan.
         loan: LoanId,
     },
 }
 
-/// Slots of one minion that are lent.
+/// Lent slots of one minion.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LentSlots {
     /// The minion.
     pub minion: MinionId,
-    /// How many.
+    /// Number of slots.
     pub slots: u32,
 }
 
-/// An entry process's answer.
+/// An entry process's reply.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EntryReply {
-    /// The attempt is under way.
+    /// The attempt is in progress.
     InProgress,
     /// The attempt was never sent to a minion and never will be.
     Abandoned,
     /// The attempt ended with this answer.
     Done(Box<KeptAnswer>),
-    /// Slots for the term of a loan; empty if there are none to spare.
+    /// A loan of slots, empty if the lender has none to spare.
     Lent {
         /// The loan.
         loan: LoanId,
-        /// What is lent.
+        /// The lent slots.
         slots: Vec<LentSlots>,
     },
-    /// What was lent is taken back.
+    /// The loan was returned.
     Returned,
     /// The attempt was sent to a minion and its answer is lost.
     Lost,
-    /// The attempt ended, and its answer is too large to keep.
+    /// The attempt ended, but its answer is too large to keep.
     #[serde(rename = "unkept")]
     NotKept,
-    /// This process does not know the attempt: it is another incarnation, or forgot it.
+    /// This process doesn't know the attempt: it is another incarnation or has forgotten it.
     #[serde(rename = "stranger")]
     UnknownAttempt,
 }
--- a/reachhead_link/src/server.rs
+++ b/reachhead_link/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side: one thread that takes a request at a time.
+//! The server side of a link: one thread that handles one request at a time.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -10,44 +10,45 @@
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-/// Largest message that is taken, in bytes: a whole configuration fits, a flood does not.
+/// Maximum size of a message in bytes: large enough for a full configuration, small enough to stop a
+/// flood.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// Why a listener could not be set up.
+/// An error of starting a server.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// `nng` said no.
+    /// `nng` can't listen on the address.
     #[error("can't listen on {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What `nng` said.
+        /// The error of `nng`.
         #[source]
         source: nng::Error,
     },
-    /// The system gave no thread.
+    /// The thread can't be started.
     #[error("can't start a thread")]
     Thread(#[from] std::io::Error),
 }
 
-/// Answers requests, on the thread that [`serve`] starts.
-pub trait Responder<Q, A>: Send + 'static {
-    /// Returns the answer to `request`; it should not block for long.
-    fn respond(&mut self, request: Q) -> A;
+/// A handler of requests, which runs on the thread that [`serve`] starts.
+pub trait Responder<Request, Reply>: Send + 'static {
+    /// Returns the reply to `request`; must not block for long, since requests are handled in turn.
+    fn respond(&mut self, request: Request) -> Reply;
 }
 
-/// Listens on `address` and answers each request with `responder` on a thread of its own.
+/// Listens on `address` and starts a thread that answers each request with `responder`.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be listened on.
-pub fn serve<Q, A>(
+/// Fails if it can't listen on the address or can't start the thread.
+pub fn serve<Request, Reply>(
     address: SocketAddr,
-    mut responder: impl Responder<Q, A>,
+    mut responder: impl Responder<Request, Reply>,
 ) -> Result<(), LinkError>
 where
-    Q: DeserializeOwned,
-    A: Serialize,
+    Request: DeserializeOwned,
+    Reply: Serialize,
 {
     let socket = listen(address).map_err(|source| LinkError::Listen { address, source })?;
     thread::Builder::new().name("link".to_owned()).spawn(move || {
@@ -60,7 +61,7 @@
                     continue;
                 }
             };
-            // What can't be read gets an empty answer, which the asker counts as none.
+            // An unreadable request gets an empty reply, which the client reports as an error.
             let reply = match serde_json::from_slice(&message) {
                 Ok(request) => serde_json::to_vec(&responder.respond(request)).unwrap_or_default(),
                 Err(_) => Vec::new(),
