--- a/reachhead_link/src/client.rs
+++ b/reachhead_link/src/client.rs
@@ -44,7 +44,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if no valid reply arrives in time; the peer may have processed the request all the same.
+    /// Fails if no valid reply arrives in time; the peer may have processed the request all the
+    /// same.
     pub fn request(
         &mut self,
         address: SocketAddr,
--- a/reachhead_link/src/message.rs
+++ b/reachhead_link/src/message.rs
@@ -95,8 +95,8 @@
     pub own: Option<MemberId>,
     /// Maximum time until every entry host notices a new list.
     pub notice: Millis,
-    /// Maximum age of the list: the time since the last check that confirmed it as the newest; `None`
-    /// if there was no such check.
+    /// Maximum age of the list: the time since the last check that confirmed it as the newest;
+    /// `None` if there was no such check.
     pub age: Option<Millis>,
 }
 
--- a/reachhead_link/src/server.rs
+++ b/reachhead_link/src/server.rs
@@ -10,8 +10,8 @@
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-/// Maximum size of a message in bytes: large enough for a full configuration, small enough to stop a
-/// flood.
+/// Maximum size of a message in bytes: large enough for a full configuration, small enough to stop
+/// a flood.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// An error of starting a server.
--- a/reachhead_store/src/adaptive_timeout.rs
+++ b/reachhead_store/src/adaptive_timeout.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-/// Lower bound of a timeout: a healthy store answers within some milliseconds, and one that has just
-/// become slow mostly within this time.
+/// Lower bound of a timeout: a healthy store answers within some milliseconds, and one that has
+/// just become slow mostly within this time.
 const MIN_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Upper bound of a timeout; the deadline of the call itself expires earlier.
--- a/reachhead_store/src/config/follow.rs
+++ b/reachhead_store/src/config/follow.rs
@@ -25,7 +25,7 @@
 pub enum ConfigUpdate {
     /// The changes after the follower's version.
     Delta(Delta),
-    /// All rows, because the follower is too far behind to read the log.
+    /// All rows, because the log can't bring the follower up to date.
     Snapshot(ConfigSnapshot),
 }
 
@@ -136,8 +136,8 @@
             break;
         }
     }
-    // All rows are at version `before` or newer. Each change replaces the whole value of a row, so it
-    // is safe to apply the log from `before` on to rows that include some of it already.
+    // All rows are at version `before` or newer. Each change replaces the whole value of a row, so
+    // it is safe to apply the log from `before` on to rows that include some of it already.
     let mut snapshot = ConfigSnapshot::new();
     let whole = Delta { from: Version(0), to: before, changes };
     snapshot.apply(&whole).map_err(|gap| gap_error(&gap))?;
--- a/reachhead_store/src/config/history.rs
+++ b/reachhead_store/src/config/history.rs
@@ -39,8 +39,8 @@
     pub id: ChangeId,
     /// The operator who requested the change.
     pub operator: OperatorName,
-    /// Time of the change in milliseconds since the Unix epoch by the admin host's clock; for display
-    /// only.
+    /// Time of the change in milliseconds since the Unix epoch by the admin host's clock; for
+    /// display only.
     pub at: Millis,
     /// The previous value; `None` if there was no such row.
     pub before: Option<Value>,
@@ -111,8 +111,8 @@
 ///
 /// # Errors
 ///
-/// Any [`StoreError`]; `Refused` if more than [`DIFF_LIMIT`] versions lie between the two or the log
-/// lacks one of them.
+/// Any [`StoreError`]; `Refused` if more than [`DIFF_LIMIT`] versions lie between the two or the
+/// log lacks one of them.
 pub async fn diff(
     store: &dyn Store,
     from: Version,
@@ -176,8 +176,8 @@
 
 /// Removes the oldest versions from the log so that `keep` remain, and returns how many it removed.
 ///
-/// One call removes at most [`TRUNCATE_BATCH`] versions. Their change ids are removed too: a request
-/// that is repeated after `keep` other changes counts as a new one.
+/// One call removes at most [`TRUNCATE_BATCH`] versions. Their change ids are removed too: a
+/// request that is repeated after `keep` other changes counts as a new one.
 ///
 /// # Errors
 ///
--- a/reachhead_store/src/config/mod.rs
+++ b/reachhead_store/src/config/mod.rs
@@ -72,8 +72,8 @@
     pub id: ChangeId,
     /// The operator who requested it.
     pub operator: OperatorName,
-    /// Time of the change in milliseconds since the Unix epoch by the admin host's clock; for display
-    /// only.
+    /// Time of the change in milliseconds since the Unix epoch by the admin host's clock; for
+    /// display only.
     pub at: Millis,
     /// The writes of the change.
     pub writes: Vec<LoggedWrite>,
--- a/reachhead_store/src/guarded.rs
+++ b/reachhead_store/src/guarded.rs
@@ -30,9 +30,9 @@
 
 /// The breakers and adaptive timeouts of a store.
 ///
-/// The breaker of the whole store limits the rate and detects stalls. The breakers of the partitions
-/// detect failures only: a partition has few calls in flight, so one call without an answer does not
-/// show a stall.
+/// The breaker of the whole store limits the rate and detects stalls. The breakers of the
+/// partitions detect failures only: a partition has few calls in flight, so one call without an
+/// answer does not show a stall.
 struct Breakers {
     whole: Breaker,
     adaptive_timeouts: Option<AdaptiveTimeouts>,
@@ -85,15 +85,15 @@
         }
     }
 
-    /// Gives each partition of the store a breaker of its own, so that an unavailable partition does
-    /// not block the pools whose rows are in other partitions.
+    /// Gives each partition of the store a breaker of its own, so that an unavailable partition
+    /// does not block the pools whose rows are in other partitions.
     #[must_use]
     pub fn with_partitions(self, partition_of: PartitionOf) -> Self {
         Self { partition_of, ..self }
     }
 
-    /// Enables adaptive timeouts: calls that take much longer than usual fail early, so that callers
-    /// can retry sooner.
+    /// Enables adaptive timeouts: calls that take much longer than usual fail early, so that
+    /// callers can retry sooner.
     #[must_use]
     pub fn with_adaptive_timeouts(self) -> Self {
         lock_breakers(&self.breakers).adaptive_timeouts = Some(AdaptiveTimeouts::default());
@@ -112,7 +112,8 @@
         lock_breakers(&self.breakers).partitions.values().any(Breaker::is_down)
     }
 
-    /// Makes a call to the partition of `key`, unless the store is down or the rate limit is exceeded.
+    /// Makes a call to the partition of `key`, unless the store is down or the rate limit is
+    /// exceeded.
     async fn call<T: Send + 'static>(
         &self,
         key: &str,
--- a/reachhead_store/src/hosts.rs
+++ b/reachhead_store/src/hosts.rs
@@ -238,8 +238,8 @@
 
 /// Moves an empty host to the pool `to` on behalf of its current pool's owner.
 ///
-/// Returns whether the host moved. The revision of the owner's `lease` is a precondition, so an owner
-/// that was paused and has lost its lease moves nothing.
+/// Returns whether the host moved. The revision of the owner's `lease` is a precondition, so an
+/// owner that was paused and has lost its lease moves nothing.
 ///
 /// # Errors
 ///
@@ -272,8 +272,9 @@
 
 /// Writes a host's row and the `budgets` that change with it, on behalf of the pool's owner.
 ///
-/// Returns the new revision, or `None` if one of the rows or the lease changed meanwhile. The pool's
-/// head row is rewritten too, so that the owner notices a write of its own whose answer was lost.
+/// Returns the new revision, or `None` if one of the rows or the lease changed meanwhile. The
+/// pool's head row is rewritten too, so that the owner notices a write of its own whose answer was
+/// lost.
 ///
 /// # Errors
 ///
@@ -352,8 +353,8 @@
     row.map(|row| row.revision).ok_or_else(|| HostError::NoPool(pool.clone()))
 }
 
-/// Adds the check that the pool is unchanged since it was read, so that it can't be deleted meanwhile;
-/// the deletion of a pool checks in turn that it has no hosts.
+/// Adds the check that the pool is unchanged since it was read, so that it can't be deleted
+/// meanwhile; the deletion of a pool checks in turn that it has no hosts.
 fn with_pool_check(txn: Txn, pool: &PoolName, revision: Revision) -> Txn {
     txn.with_check(keys::config(&RowKey::Pool(pool.clone())), Some(revision))
 }
--- a/reachhead_store/src/keys.rs
+++ b/reachhead_store/src/keys.rs
@@ -78,8 +78,8 @@
     Key(format!("{}{host}", pool_hosts(pool)))
 }
 
-/// Returns the key of the row that is rewritten with each change of a pool, so that the pool's owner
-/// notices changes made by other processes.
+/// Returns the key of the row that is rewritten with each change of a pool, so that the pool's
+/// owner notices changes made by other processes.
 pub fn pool_head(pool: &PoolName) -> Key {
     Key(format!("pool-head/{pool}"))
 }
--- a/reachhead_store/src/lib.rs
+++ b/reachhead_store/src/lib.rs
@@ -27,7 +27,8 @@
     /// The call never reached the store, or the store said that it did nothing.
     #[error("the store did not take the call: {0}")]
     NotDone(String),
-    /// The store answered that it did nothing because it is overloaded or reserved for other clients.
+    /// The store answered that it did nothing because it is overloaded or reserved for other
+    /// clients.
     #[error("the store is busy: {0}")]
     Busy(String),
     /// The call was sent but no answer arrived, so it may have taken effect or may still do so.
--- a/reachhead_store/src/platform.rs
+++ b/reachhead_store/src/platform.rs
@@ -61,7 +61,8 @@
 
 /// The platform's operations on hosts.
 ///
-/// All of them are idempotent: a call may take effect even if its answer is lost, and may be retried.
+/// All of them are idempotent: a call may take effect even if its answer is lost, and may be
+/// retried.
 pub trait Platform: Send + Sync {
     /// Returns the status of each of `hosts`; `None` for a host that the platform does not know.
     ///
@@ -73,7 +74,8 @@
         hosts: Vec<HostId>,
     ) -> BoxFuture<'_, Result<Vec<Option<HostStatus>>, StoreError>>;
 
-    /// Starts the drain `tag` of `host`: it takes no new work, and the host list shows it as leaving.
+    /// Starts the drain `tag` of `host`: it takes no new work, and the host list shows it as
+    /// leaving.
     ///
     /// # Errors
     ///
--- a/reachhead_store/tests/guarded.rs
+++ b/reachhead_store/tests/guarded.rs
@@ -116,10 +116,10 @@
 async fn a_partition_is_used_soon_after_a_long_outage() {
     let down = Arc::new(AtomicBool::new(true));
     let failing = FailingStore { down: Arc::clone(&down), ..FailingStore::default() };
-    let longest = Duration::from_millis(400);
+    let max_pause = Duration::from_millis(400);
     let store = GuardedStore::new(failing, 1000)
         .with_partitions(partition_of)
-        .with_max_probe_pause(longest);
+        .with_max_probe_pause(max_pause);
     for _ in 0..20 {
         fail_for_a_while(&store, "away").await;
     }
@@ -133,10 +133,10 @@
 
 /// Guards against scans that time out by the latency of other calls.
 ///
-/// A process on a slow link that takes over a pool scans its hundreds of jobs, which takes a second,
-/// while its other calls take some milliseconds. If the scan times out after six times their latency
-/// it is retried for ever: no process of such a fleet can take over the pool, its jobs make no
-/// progress, and the scans fill the link.
+/// A process on a slow link that takes over a pool scans its hundreds of jobs, which takes a
+/// second, while its other calls take some milliseconds. If the scan times out after six times
+/// their latency it is retried for ever: no process of such a fleet can take over the pool, its
+/// jobs make no progress, and the scans fill the link.
 #[tokio::test(start_paused = true)]
 async fn scans_do_not_time_out_by_the_latency_of_other_calls() {
     let slow =
--- a/reachhead_store/tests/hosts.rs
+++ b/reachhead_store/tests/hosts.rs
@@ -19,8 +19,8 @@
 };
 use serde_json::json;
 
-/// A store in which the host of one pool returns to service and the host of the other pool starts to
-/// drain between the first read of rows and the next; at no revision are both out of service.
+/// A store in which the host of one pool returns to service and the host of the other pool starts
+/// to drain between the first read of rows and the next; at no revision are both out of service.
 struct SwappingStore {
     inner: MemoryStore,
     swapped: AtomicBool,
@@ -64,8 +64,9 @@
 
 /// Guards against reads of several pools at different revisions.
 ///
-/// A wave over two pools was shown with two hosts out of service where one is allowed: the host of the
-/// first pool was read before it returned, that of the second pool after it had started to drain.
+/// A wave over two pools was shown with two hosts out of service where one is allowed: the host of
+/// the first pool was read before it returned, that of the second pool after it had started to
+/// drain.
 #[test]
 fn hosts_of_several_pools_are_read_at_one_revision() {
     let inner = MemoryStore::new();
--- a/reachhead_types/src/boot_instant.rs
+++ b/reachhead_types/src/boot_instant.rs
@@ -1,9 +1,9 @@
 //! Readings of the boot-time clock, used for leases, deadlines and hold times.
 //!
-//! A host may be suspended for seconds. The monotonic clock of the standard library does not advance
-//! during that time, so a resumed process would consider a lease valid that its successor has taken
-//! long ago, and a stale list of hosts fresh. The system's boot-time clock advances during a
-//! suspension. docs/PLATFORM.md lists which clock is used for what.
+//! A host may be suspended for seconds. The monotonic clock of the standard library does not
+//! advance during that time, so a resumed process would consider a lease valid that its successor
+//! has taken long ago, and a stale list of hosts fresh. The system's boot-time clock advances
+//! during a suspension. docs/PLATFORM.md lists which clock is used for what.
 
 use std::{
     ops::{Add, AddAssign, Sub},
@@ -12,7 +12,8 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A reading of the host's boot-time clock, which includes the time in which the host was suspended.
+/// A reading of the host's boot-time clock, which includes the time in which the host was
+/// suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct BootInstant {
     since_boot: Duration,
--- a/reachhead_types/src/error.rs
+++ b/reachhead_types/src/error.rs
@@ -1,7 +1,7 @@
 //! The error kinds of requests and the table that maps each kind to an answer.
 //!
-//! Every answer that the system itself generates takes its status, outcome and Retry-After from this
-//! table; docs/OUTCOMES.md explains it to operators.
+//! Every answer that the system itself generates takes its status, outcome and Retry-After from
+//! this table; docs/OUTCOMES.md explains it to operators.
 
 use std::fmt::{self, Display, Formatter};
 
--- a/reachhead_types/src/fleet/mod.rs
+++ b/reachhead_types/src/fleet/mod.rs
@@ -55,7 +55,8 @@
     pub group: GroupName,
     /// The pool whose hosts run the minions.
     pub pool: PoolName,
-    /// Availability budget: minions that may be unavailable at once, planned and unplanned together.
+    /// Availability budget: minions that may be unavailable at once, planned and unplanned
+    /// together.
     #[serde(default = "default_unavailable")]
     pub max_unavailable: u32,
 }
@@ -83,7 +84,8 @@
     pub address: SocketAddr,
     /// The availability zone in which it runs.
     pub zone: ZoneName,
-    /// The host on which it runs, as named in the platform's list; `None` if it is not listed there.
+    /// The host on which it runs, as named in the platform's list; `None` if it is not listed
+    /// there.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<HostId>,
     /// Maximum number of concurrent requests.
--- a/reachhead_types/src/lib.rs
+++ b/reachhead_types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Domain types that all programs share: ids, quantities, configuration and store rows, error kinds.
+//! Domain types shared by all programs: ids, quantities, configuration and store rows, errors.
 
 pub mod answer;
 pub mod boot_instant;
--- a/reachhead_types/src/scope.rs
+++ b/reachhead_types/src/scope.rs
@@ -1,7 +1,7 @@
 //! Permissions of operators: the whole tree of groups, or the subtree of one group.
 //!
-//! Competing groups share one configuration. Each row therefore has owners, all of whom must allow a
-//! change, and one owner whose operators may read it. docs/API.md has the table for operators.
+//! Competing groups share one configuration. Each row therefore has owners, all of whom must allow
+//! a change, and one owner whose operators may read it. docs/API.md has the table for operators.
 
 use serde::{Deserialize, Serialize};
 
--- a/reachhead_types/src/tree.rs
+++ b/reachhead_types/src/tree.rs
@@ -20,8 +20,8 @@
 /// Queue limit of a group for one service at one entry host where no group sets one, in requests.
 pub const DEFAULT_QUEUE: u32 = 256;
 
-/// Generates the types of overrides, effective settings and their origins from one list of settings,
-/// so that no setting can be missing from one of them.
+/// Generates the types of overrides, effective settings and their origins from one list of
+/// settings, so that no setting can be missing from one of them.
 macro_rules! settings {
     ($($(#[$doc:meta])* $field:ident: $kind:ty = $default:expr;)*) => {
         /// The settings that a group overrides; `None` inherits.
