--- a/reachhead_store/src/config/history.rs
+++ b/reachhead_store/src/config/history.rs
@@ -176,7 +176,7 @@
 
 /// Removes the oldest versions from the log so that `keep` remain, and returns how many it removed.
 ///
-/// One call removes at most [`TRUNCATE_BATCH`] versions. Their change ids are removed too: a
+/// One call removes at most `TRUNCATE_BATCH` versions. Their change ids are removed too: a
 /// request that is repeated after `keep` other changes counts as a new one.
 ///
 /// # Errors
--- a/reachhead_store/src/config/mod.rs
+++ b/reachhead_store/src/config/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::StoreError;
 
-/// The row of [`keys::head`].
+/// The row with the newest version, under the key [`head`](crate::keys::head).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HeadRow {
     /// The newest version of the configuration.
@@ -63,7 +63,7 @@
     pub writes: Vec<ConfigWrite>,
 }
 
-/// The row of [`keys::log`].
+/// The log entry of a change, under the key [`log`](crate::keys::log).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRow {
     /// The version that the change became.
@@ -98,7 +98,7 @@
     Owner::Tree
 }
 
-/// The row of [`keys::change`].
+/// The version of a change, under the key [`change`](crate::keys::change).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRow {
     /// The version that the change became.
