--- a/reachhead_entry/src/process/control_follower.rs
+++ b/reachhead_entry/src/process/control_follower.rs
@@ -104,7 +104,7 @@
         let requested_at = BootInstant::now();
         let request =
             ControlRequest::Follow { have: self.snapshot.version(), hosts: self.hosts_revision };
-        let reply = match self.client.ask(self.control, &request) {
+        let reply = match self.client.request(self.control, &request) {
             Ok(ControlReply::Follow(reply)) => Some(reply),
             _ => None,
         };
--- a/reachhead_entry/src/process/peer_client.rs
+++ b/reachhead_entry/src/process/peer_client.rs
@@ -53,7 +53,7 @@
         if reply.is_closed() {
             continue;
         }
-        let result = client.ask(address, &request);
+        let result = client.request(address, &request);
         if let Err(error) = &result {
             debug!("request to entry host {address} failed: {error}");
         }
--- a/reachhead_entry/src/process/peer_server.rs
+++ b/reachhead_entry/src/process/peer_server.rs
@@ -53,7 +53,7 @@
         EntryRequest::Claim { incarnation, attempt } if incarnation == proxy.incarnation => {
             attempt_reply(proxy, attempt)
         }
-        EntryRequest::Claim { .. } => EntryReply::Stranger,
+        EntryRequest::Claim { .. } => EntryReply::UnknownAttempt,
         EntryRequest::Borrow { service, want } => proxy.lend(&service, want),
         EntryRequest::Return { loan } => {
             proxy.reclaim(loan);
@@ -64,11 +64,11 @@
 
 fn attempt_reply(proxy: &Proxy, attempt: AttemptId) -> EntryReply {
     match proxy.attempts.borrow().state(attempt) {
-        None => EntryReply::Stranger,
+        None => EntryReply::UnknownAttempt,
         Some(AttemptState::Pending | AttemptState::Sent) => EntryReply::InProgress,
         Some(AttemptState::Abandoned) => EntryReply::Abandoned,
         Some(AttemptState::Done(answer)) => EntryReply::Done(Box::new((**answer).clone())),
-        Some(AttemptState::Unkept) => EntryReply::Unkept,
+        Some(AttemptState::Unkept) => EntryReply::NotKept,
         Some(AttemptState::Lost) => EntryReply::Lost,
     }
 }
@@ -89,8 +89,8 @@
     fn respond(&mut self, request: EntryRequest) -> EntryReply {
         let (reply, received) = blocking::sync_channel(1);
         if self.path_requests.try_send(PathRequest::Peer { request, reply }).is_err() {
-            return EntryReply::Stranger;
+            return EntryReply::UnknownAttempt;
         }
-        received.recv_timeout(PATH_TIMEOUT).unwrap_or(EntryReply::Stranger)
+        received.recv_timeout(PATH_TIMEOUT).unwrap_or(EntryReply::UnknownAttempt)
     }
 }
--- a/reachhead_entry/src/request/headers.rs
+++ b/reachhead_entry/src/request/headers.rs
@@ -48,7 +48,7 @@
     // The body is sent from memory, so Hyper sets its length.
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    let remaining = deadline.left();
+    let remaining = deadline.remaining();
     headers.insert(DEADLINE_HEADER, HeaderValue::from(whole_millis(remaining)));
     headers
 }
--- a/reachhead_entry/src/request/idempotency.rs
+++ b/reachhead_entry/src/request/idempotency.rs
@@ -150,7 +150,7 @@
             );
         }
         ProxiedBody::Streaming { .. } => {
-            finish_claim(proxy, claim, AttemptState::Unkept, ClaimState::Unkept)
+            finish_claim(proxy, claim, AttemptState::Unkept, ClaimState::NotKept)
         }
     }
 }
@@ -190,7 +190,7 @@
     }
     match &held.state {
         ClaimState::Done(kept) => return Err(EarlyAnswer::Replay(Rc::new(kept.clone()))),
-        ClaimState::Unkept => return Err(EarlyAnswer::Error(ErrorKind::AnswerNotKept)),
+        ClaimState::NotKept => return Err(EarlyAnswer::Error(ErrorKind::AnswerNotKept)),
         ClaimState::Lost => return Err(EarlyAnswer::Error(ErrorKind::KeyOutcomeLost)),
         ClaimState::Claimed => {}
     }
@@ -207,11 +207,10 @@
         Some(EntryReply::Abandoned) => Ok(()),
         Some(EntryReply::InProgress) => Err(EarlyAnswer::Error(ErrorKind::KeyInProgress)),
         Some(EntryReply::Done(kept)) => Err(EarlyAnswer::Replay(Rc::new(*kept))),
-        Some(EntryReply::Unkept) => Err(EarlyAnswer::Error(ErrorKind::AnswerNotKept)),
+        Some(EntryReply::NotKept) => Err(EarlyAnswer::Error(ErrorKind::AnswerNotKept)),
         Some(EntryReply::Lost) => Err(EarlyAnswer::Error(ErrorKind::KeyOutcomeLost)),
-        Some(EntryReply::Stranger | EntryReply::Lent { .. } | EntryReply::Returned) | None => {
-            Err(EarlyAnswer::Error(ErrorKind::OwnerUnreachable))
-        }
+        Some(EntryReply::UnknownAttempt | EntryReply::Lent { .. } | EntryReply::Returned)
+        | None => Err(EarlyAnswer::Error(ErrorKind::OwnerUnreachable)),
     }
 }
 
--- a/reachhead_entry/src/request/send.rs
+++ b/reachhead_entry/src/request/send.rs
@@ -110,7 +110,7 @@
     let sender = match permit.minion.take_idle(minions.idle_time.duration()) {
         Some(sender) => sender,
         None => {
-            let remaining = received.deadline.left();
+            let remaining = received.deadline.remaining();
             let connect_timeout = Duration::from_millis(minions.connect_time.get()).min(remaining);
             match minion_client::connect(permit.minion.row.address, connect_timeout).await {
                 Some(sender) => sender,
@@ -153,7 +153,7 @@
         // After twice the caller's time, the connection is closed and the slot is freed.
         let slot_deadline = deadline + deadline.duration_since(started);
         let mut exchange = Exchange::new(Box::pin(self.exchange()), slot_deadline);
-        match time::timeout(deadline.left(), &mut exchange).await {
+        match time::timeout(deadline.remaining(), &mut exchange).await {
             Ok(result) => result,
             Err(_) => {
                 if started.elapsed() >= MIN_FAILURE_WAIT {
@@ -188,7 +188,7 @@
 
     /// Waits for the result until the deadline of the slot.
     pub async fn finish_late(mut self) -> SendResult {
-        let remaining = self.slot_deadline.left();
+        let remaining = self.slot_deadline.remaining();
         let result = time::timeout(remaining, &mut self).await;
         if result.is_err() {
             self.running = None;
