--- a/reachhead/src/main.rs
+++ b/reachhead/src/main.rs
@@ -19,7 +19,7 @@
         Ok(args) => args,
         Err(code) => return code,
     };
-    let runtime = match runtime::single() {
+    let runtime = match runtime::current_thread() {
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("reachhead: {error}");
@@ -28,7 +28,7 @@
     };
     match runtime.block_on(run(args)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(CommandError::Settings(error)) => cli::fail(&error, cli::EXIT_SETTINGS),
+        Err(CommandError::Settings(error)) => cli::report_failure(&error, cli::EXIT_SETTINGS),
         Err(error) => {
             eprintln!("reachhead: {error}");
             ExitCode::from(cli::EXIT_RUNTIME)
--- a/reachhead_admin/src/api/change.rs
+++ b/reachhead_admin/src/api/change.rs
@@ -6,7 +6,7 @@
 use log::debug;
 use reachhead_ops::{
     event::{Event, emit},
-    http::{self, WholeResponse},
+    http::{self, BufferedResponse},
 };
 use reachhead_store::config::{ChangeError, ChangeRequest, ConfigWriter, history};
 use reachhead_types::{
@@ -47,7 +47,7 @@
         body: &[u8],
         caller: Caller,
         snapshot: MutexGuard<'_, ConfigSnapshot>,
-    ) -> WholeResponse {
+    ) -> BufferedResponse {
         match serde_json::from_slice(body) {
             Ok(request) => self.make(&request, caller, snapshot).await,
             Err(error) => api::problem(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -59,7 +59,7 @@
         body: &[u8],
         caller: Caller,
         snapshot: MutexGuard<'_, ConfigSnapshot>,
-    ) -> WholeResponse {
+    ) -> BufferedResponse {
         let UndoRequest { id, version } = match serde_json::from_slice(body) {
             Ok(request) => request,
             Err(error) => return api::problem(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -85,7 +85,7 @@
         request: &ChangeRequest,
         caller: Caller,
         mut snapshot: MutexGuard<'_, ConfigSnapshot>,
-    ) -> WholeResponse {
+    ) -> BufferedResponse {
         let Caller { operator, scope } = caller;
         let writer = ConfigWriter::new(&*self.store, operator.clone(), now()).with_scope(scope);
         match writer.change(&mut snapshot, request).await {
@@ -111,7 +111,7 @@
         }
     }
 
-    fn refuse(&self, request: &ChangeRequest, error: ChangeError) -> WholeResponse {
+    fn refuse(&self, request: &ChangeRequest, error: ChangeError) -> BufferedResponse {
         let text = error.to_string();
         emit(Event::ChangeRefused, format_args!("{}: {text}", request.id));
         let problem = Problem { error: text, nothing_changed: true, ..Problem::default() };
--- a/reachhead_admin/src/api/hosts.rs
+++ b/reachhead_admin/src/api/hosts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hyper::{Method, StatusCode};
-use reachhead_ops::http::{self, WholeResponse};
+use reachhead_ops::http::{self, BufferedResponse};
 use reachhead_store::{
     StoreError,
     hosts::{self, Host, HostError},
@@ -76,7 +76,7 @@
         query: &str,
         body: &[u8],
         reader: &Reader,
-    ) -> WholeResponse {
+    ) -> BufferedResponse {
         let result = match (method, path) {
             (&Method::GET, []) => self.list_hosts(query, reader).await,
             (&Method::POST, []) => self.add_host(body, reader).await,
@@ -91,7 +91,11 @@
         result.unwrap_or_else(|error| refuse(&error))
     }
 
-    async fn list_hosts(&self, query: &str, reader: &Reader) -> Result<WholeResponse, HostError> {
+    async fn list_hosts(
+        &self,
+        query: &str,
+        reader: &Reader,
+    ) -> Result<BufferedResponse, HostError> {
         let named = api::parameter(query, "pool").map(str::parse::<PoolName>);
         let mut found = match named {
             Some(Ok(pool)) => hosts::in_pool(&*self.store, &pool).await?,
@@ -102,7 +106,7 @@
         Ok(http::json(StatusCode::OK, &found))
     }
 
-    async fn add_host(&self, body: &[u8], reader: &Reader) -> Result<WholeResponse, HostError> {
+    async fn add_host(&self, body: &[u8], reader: &Reader) -> Result<BufferedResponse, HostError> {
         let NewHost { host, zone, rack, resources, pool } = match serde_json::from_slice(body) {
             Ok(new) => new,
             Err(error) => return Ok(api::problem(StatusCode::BAD_REQUEST, &error.to_string())),
@@ -120,7 +124,7 @@
         host: &str,
         body: &[u8],
         reader: &Reader,
-    ) -> Result<WholeResponse, HostError> {
+    ) -> Result<BufferedResponse, HostError> {
         let Want { pool } = match serde_json::from_slice(body) {
             Ok(want) => want,
             Err(error) => return Ok(api::problem(StatusCode::BAD_REQUEST, &error.to_string())),
@@ -135,7 +139,11 @@
         Ok(http::json(StatusCode::OK, &row))
     }
 
-    async fn remove_host(&self, host: &str, reader: &Reader) -> Result<WholeResponse, HostError> {
+    async fn remove_host(
+        &self,
+        host: &str,
+        reader: &Reader,
+    ) -> Result<BufferedResponse, HostError> {
         let Some(Host { id, row, .. }) = self.own_host(host, reader).await? else {
             return Ok(api::forbidden());
         };
@@ -157,7 +165,7 @@
     }
 
     /// Answers `/v1/pools`.
-    pub(super) async fn pools(&self, reader: &Reader) -> WholeResponse {
+    pub(super) async fn pools(&self, reader: &Reader) -> BufferedResponse {
         match self.pool_reports(reader).await {
             Ok(reports) => http::json(StatusCode::OK, &reports),
             Err(error) => api::store_problem(&error),
@@ -196,7 +204,7 @@
     }
 }
 
-fn refuse(error: &HostError) -> WholeResponse {
+fn refuse(error: &HostError) -> BufferedResponse {
     let text = error.to_string();
     match error {
         HostError::Missing(_) | HostError::NoPool(_) => api::problem(StatusCode::NOT_FOUND, &text),
--- a/reachhead_admin/src/api/mod.rs
+++ b/reachhead_admin/src/api/mod.rs
@@ -10,7 +10,7 @@
 use futures::future::{BoxFuture, FutureExt};
 use hyper::{Method, StatusCode};
 use reachhead_config::admin::ApiSettings;
-use reachhead_ops::http::{self, Handler, WholeRequest, WholeResponse};
+use reachhead_ops::http::{self, BufferedRequest, BufferedResponse, Handler};
 use reachhead_store::{HostLister, Store, StoreError, config, platform::Platform};
 use reachhead_types::{
     fleet::{Fleet, RowFault, RowKey},
@@ -99,7 +99,7 @@
         Ok(snapshot)
     }
 
-    async fn answer(&self, request: WholeRequest) -> WholeResponse {
+    async fn answer(&self, request: BufferedRequest) -> BufferedResponse {
         let snapshot = match self.follow().await {
             Ok(snapshot) => snapshot,
             // The one token of the settings is known without the store; it then says what is down.
@@ -114,10 +114,10 @@
 
     async fn route(
         &self,
-        request: WholeRequest,
+        request: BufferedRequest,
         caller: Caller,
         snapshot: MutexGuard<'_, ConfigSnapshot>,
-    ) -> WholeResponse {
+    ) -> BufferedResponse {
         let path: Vec<&str> = request.path.trim_matches('/').split('/').collect();
         match (&request.method, path.as_slice()) {
             (&Method::POST, ["v1", "changes"]) => {
@@ -147,7 +147,7 @@
 }
 
 impl Handler for Api {
-    fn handle(&self, request: WholeRequest) -> BoxFuture<'_, WholeResponse> {
+    fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse> {
         self.answer(request).boxed()
     }
 }
@@ -157,21 +157,21 @@
     Fleet::from_rows(snapshot.version(), snapshot.rows()).ok()
 }
 
-fn faulty() -> WholeResponse {
+fn faulty() -> BufferedResponse {
     problem(StatusCode::INTERNAL_SERVER_ERROR, "the rows in force have faults")
 }
 
-fn problem(status: StatusCode, error: &str) -> WholeResponse {
+fn problem(status: StatusCode, error: &str) -> BufferedResponse {
     let problem = Problem { error: error.to_owned(), nothing_changed: true, ..Problem::default() };
     http::json(status, &problem)
 }
 
 /// Returns what an operator is told who may not read something, be it there or not.
-fn forbidden() -> WholeResponse {
+fn forbidden() -> BufferedResponse {
     problem(StatusCode::FORBIDDEN, "outside the operator's scope")
 }
 
-fn store_problem(error: &StoreError) -> WholeResponse {
+fn store_problem(error: &StoreError) -> BufferedResponse {
     let status = match error {
         StoreError::Refused(_) => StatusCode::UNPROCESSABLE_ENTITY,
         StoreError::NotDone(_) | StoreError::Busy(_) | StoreError::Lost(_) => {
--- a/reachhead_admin/src/api/read.rs
+++ b/reachhead_admin/src/api/read.rs
@@ -1,7 +1,7 @@
 //! Reads: rows, settings in force, history, differences, status.
 
 use hyper::StatusCode;
-use reachhead_ops::http::{self, WholeResponse};
+use reachhead_ops::http::{self, BufferedResponse};
 use reachhead_store::config::{LoggedWrite, history};
 use reachhead_types::{
     fleet::{Fleet, RowKey},
@@ -49,7 +49,7 @@
     }
 }
 
-pub(super) fn rows(snapshot: &ConfigSnapshot, query: &str, caller: &Caller) -> WholeResponse {
+pub(super) fn rows(snapshot: &ConfigSnapshot, query: &str, caller: &Caller) -> BufferedResponse {
     let Some(fleet) = api::fleet(snapshot) else {
         return api::faulty();
     };
@@ -62,7 +62,7 @@
     http::json(StatusCode::OK, &rows)
 }
 
-fn effective(group: &str, reader: &Reader) -> WholeResponse {
+fn effective(group: &str, reader: &Reader) -> BufferedResponse {
     let Ok(group) = group.parse::<GroupName>() else {
         return api::problem(StatusCode::BAD_REQUEST, "not a group's name");
     };
@@ -80,7 +80,12 @@
 
 impl Api {
     /// Answers the reads that need the store or the fleet.
-    pub(super) async fn read(&self, page: &[&str], query: &str, reader: &Reader) -> WholeResponse {
+    pub(super) async fn read(
+        &self,
+        page: &[&str],
+        query: &str,
+        reader: &Reader,
+    ) -> BufferedResponse {
         match page {
             ["effective", group] => effective(group, reader),
             ["log"] => self.log(query, reader).await,
@@ -92,7 +97,7 @@
         }
     }
 
-    async fn log(&self, query: &str, reader: &Reader) -> WholeResponse {
+    async fn log(&self, query: &str, reader: &Reader) -> BufferedResponse {
         let after = api::version_parameter(query, "after", Version(0));
         match history::log(&*self.store, after).await {
             Ok(mut rows) => {
@@ -106,7 +111,7 @@
         }
     }
 
-    async fn history(&self, query: &str, reader: &Reader) -> WholeResponse {
+    async fn history(&self, query: &str, reader: &Reader) -> BufferedResponse {
         let Some(Ok(key)) = api::parameter(query, "key").map(str::parse::<RowKey>) else {
             return api::problem(StatusCode::BAD_REQUEST, "key must name a row");
         };
@@ -120,7 +125,7 @@
         }
     }
 
-    async fn diff(&self, query: &str, reader: &Reader) -> WholeResponse {
+    async fn diff(&self, query: &str, reader: &Reader) -> BufferedResponse {
         let from = api::version_parameter(query, "from", Version(0));
         let to = api::version_parameter(query, "to", reader.fleet.version);
         let may_read = |write: &LoggedWrite| reader.covers(&write.reader);
@@ -130,7 +135,7 @@
         }
     }
 
-    async fn status(&self, version: Version) -> WholeResponse {
+    async fn status(&self, version: Version) -> BufferedResponse {
         match self.status.read(&*self.store, version).await {
             Ok(status) => http::json(StatusCode::OK, &status),
             Err(error) => api::store_problem(&error),
--- a/reachhead_admin/src/api/waves.rs
+++ b/reachhead_admin/src/api/waves.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hyper::{Method, StatusCode};
-use reachhead_ops::http::{self, WholeResponse};
+use reachhead_ops::http::{self, BufferedResponse};
 use reachhead_pool::{
     budget::{Budgets, MinionPlacements},
     host,
@@ -73,7 +73,7 @@
         path: &[&str],
         body: &[u8],
         reader: &Reader,
-    ) -> WholeResponse {
+    ) -> BufferedResponse {
         let result = match (method, path) {
             (&Method::GET, []) => self.show_waves(None, reader).await,
             (&Method::GET, [name]) => match name.parse::<WaveName>() {
@@ -87,7 +87,11 @@
         result.unwrap_or_else(|error| refuse(&error))
     }
 
-    async fn start_wave(&self, body: &[u8], reader: &Reader) -> Result<WholeResponse, WaveError> {
+    async fn start_wave(
+        &self,
+        body: &[u8],
+        reader: &Reader,
+    ) -> Result<BufferedResponse, WaveError> {
         let NewWave { name, pools } = match serde_json::from_slice(body) {
             Ok(new) => new,
             Err(error) => return Ok(api::problem(StatusCode::BAD_REQUEST, &error.to_string())),
@@ -110,7 +114,7 @@
         name: &str,
         body: &[u8],
         reader: &Reader,
-    ) -> Result<WholeResponse, WaveError> {
+    ) -> Result<BufferedResponse, WaveError> {
         let (Ok(name), Ok(NewState { state })) =
             (name.parse::<WaveName>(), serde_json::from_slice(body))
         else {
@@ -134,7 +138,7 @@
         &self,
         name: Option<&WaveName>,
         reader: &Reader,
-    ) -> Result<WholeResponse, WaveError> {
+    ) -> Result<BufferedResponse, WaveError> {
         let context = self.context(reader).await?;
         let mut shown: BTreeMap<PoolName, WaveRow> = BTreeMap::new();
         for pool in reader.pools() {
@@ -206,7 +210,7 @@
     }
 }
 
-fn refuse(error: &WaveError) -> WholeResponse {
+fn refuse(error: &WaveError) -> BufferedResponse {
     let text = error.to_string();
     match error {
         WaveError::Missing(..) => api::problem(StatusCode::NOT_FOUND, &text),
--- a/reachhead_admin/src/main.rs
+++ b/reachhead_admin/src/main.rs
@@ -11,5 +11,5 @@
 use reachhead_ops::cli;
 
 fn main() -> ExitCode {
-    cli::daemon("admin", process::run)
+    cli::run_daemon("admin", process::run)
 }
--- a/reachhead_admin/src/process.rs
+++ b/reachhead_admin/src/process.rs
@@ -8,7 +8,7 @@
 use reachhead_ops::{
     event::{Event, emit},
     http,
-    listener::{self, Observed},
+    listener::{self, ProcessStatus},
     runtime,
 };
 use reachhead_store::{Store, guarded::GuardedStore, http::HttpStore};
@@ -27,8 +27,8 @@
     stopping: watch::Receiver<bool>,
 }
 
-impl Observed for AdminObserved {
-    fn not_ready(&self) -> Option<String> {
+impl ProcessStatus for AdminObserved {
+    fn unready_reason(&self) -> Option<String> {
         if *self.stopping.borrow() {
             return Some("shutting down".to_owned());
         }
@@ -58,7 +58,7 @@
     let (stop, stopping) = watch::channel(false);
     let observed = AdminObserved { api: Arc::clone(&api), store, stopping: stopping.clone() };
     listener::start(settings.ops.address, Arc::new(observed), registry)?;
-    runtime::single()?.block_on(async move {
+    runtime::current_thread()?.block_on(async move {
         let listener = http::listen(settings.api.address).await?;
         emit(Event::Started, format_args!("admin on {}", settings.api.address));
         let limit = settings.api.body.0 as usize;
--- a/reachhead_bench/src/main.rs
+++ b/reachhead_bench/src/main.rs
@@ -102,7 +102,7 @@
 fn run(args: Args) -> std::io::Result<Option<Value>> {
     match args.part {
         Part::Forwarder(ForwarderArgs { address, to }) => {
-            runtime::single()?.block_on(forwarder::run(address, to)).map(|()| None)
+            runtime::current_thread()?.block_on(forwarder::run(address, to)).map(|()| None)
         }
         Part::Path(PathArgs { only }) => measure(path::run(only.as_deref())),
         Part::Capacity(CapacityArgs { only }) => measure(capacity::run(only.as_deref())),
--- a/reachhead_control/src/clean.rs
+++ b/reachhead_control/src/clean.rs
@@ -63,7 +63,7 @@
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
         loop {
             tokio::select! {
-                () = runtime::stopped(&mut stop) => return,
+                () = runtime::wait_for_stop(&mut stop) => return,
                 () = time::sleep(self.step / LOOKS) => {}
             }
             if let Err(error) = self.look().await {
--- a/reachhead_control/src/follow.rs
+++ b/reachhead_control/src/follow.rs
@@ -95,7 +95,7 @@
         let mut due = time::Instant::now();
         loop {
             tokio::select! {
-                () = runtime::stopped(&mut stop) => break,
+                () = runtime::wait_for_stop(&mut stop) => break,
                 () = time::sleep_until(due) => {}
             }
             due = time::Instant::now() + self.period(duty);
--- a/reachhead_control/src/main.rs
+++ b/reachhead_control/src/main.rs
@@ -16,5 +16,5 @@
 use reachhead_ops::cli;
 
 fn main() -> ExitCode {
-    cli::daemon("control", process::run)
+    cli::run_daemon("control", process::run)
 }
--- a/reachhead_control/src/members.rs
+++ b/reachhead_control/src/members.rs
@@ -31,13 +31,13 @@
 /// An outage of the store counts for nobody's silence: after it every row gets the whole term
 /// again, since hosts find out at different moments that the store is back.
 #[derive(Debug, Clone, Default)]
-pub struct MemberBook {
+pub struct MemberTable {
     list: Vec<Member>,
     revision: Revision,
     watched: BTreeMap<HostId, Watched>,
 }
 
-impl MemberBook {
+impl MemberTable {
     /// Returns an empty book.
     pub fn new() -> Self {
         Self { list: Vec::new(), revision: Revision(0), watched: BTreeMap::new() }
--- a/reachhead_control/src/pools.rs
+++ b/reachhead_control/src/pools.rs
@@ -60,7 +60,7 @@
         loop {
             let jitter = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
             tokio::select! {
-                () = runtime::stopped(&mut stop) => break,
+                () = runtime::wait_for_stop(&mut stop) => break,
                 () = time::sleep(self.pause().mul_f64(jitter)) => {}
             }
             self.work().await;
--- a/reachhead_control/src/process.rs
+++ b/reachhead_control/src/process.rs
@@ -13,7 +13,7 @@
 use reachhead_link::server::{self, LinkError};
 use reachhead_ops::{
     event::{Event, emit},
-    listener::{self, Observed},
+    listener::{self, ProcessStatus},
     runtime,
 };
 use reachhead_store::{
@@ -33,8 +33,8 @@
     metrics: Metrics,
 }
 
-impl Observed for ControlObserved {
-    fn not_ready(&self) -> Option<String> {
+impl ProcessStatus for ControlObserved {
+    fn unready_reason(&self) -> Option<String> {
         if self.view.version().0 == 0 {
             return Some("no configuration yet".to_owned());
         }
@@ -46,7 +46,7 @@
         async move { serde_json::to_value(self.view.report()).unwrap_or_default() }.boxed()
     }
 
-    fn refresh(&self) {
+    fn refresh_metrics(&self) {
         self.metrics.refresh(&self.view);
     }
 }
@@ -88,7 +88,7 @@
 
 /// Works on the store on this thread until a shutdown is asked for.
 fn run_on_store(follower: Follower, cleaner: Cleaner, pools: PoolRounds) -> io::Result<()> {
-    runtime::single()?.block_on(async move {
+    runtime::current_thread()?.block_on(async move {
         let (stop, stopped) = watch::channel(false);
         let following = tokio::spawn(follower.run(stopped.clone()));
         tokio::spawn(cleaner.run(stopped.clone()));
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -23,7 +23,7 @@
 };
 use serde::Serialize;
 
-use crate::{members::MemberBook, timeouts::Timeouts};
+use crate::{members::MemberTable, timeouts::Timeouts};
 
 /// What the threads of this process share.
 pub struct View {
@@ -44,7 +44,7 @@
 
 struct State {
     snapshot: ConfigSnapshot,
-    members: MemberBook,
+    members: MemberTable,
     leaving: LeavingHosts,
     /// This host's stay on the list, once it has written its row.
     own: Option<Incarnation>,
@@ -91,7 +91,7 @@
     pub fn new(host: HostId, timeouts: Timeouts) -> Arc<Self> {
         let state = State {
             snapshot: ConfigSnapshot::new(),
-            members: MemberBook::new(),
+            members: MemberTable::new(),
             leaving: LeavingHosts::default(),
             own: None,
             entry_version: Version(0),
--- a/reachhead_entry/src/connection/accept.rs
+++ b/reachhead_entry/src/connection/accept.rs
@@ -72,7 +72,7 @@
     loop {
         let has_room = open.count.get() < limit;
         tokio::select! {
-            () = runtime::stopped(&mut stop) => break,
+            () = runtime::wait_for_stop(&mut stop) => break,
             accepted = listener.accept(), if has_room => match accepted {
                 Ok((stream, _)) => {
                     let guard = OpenGuard::new(&open);
--- a/reachhead_entry/src/main.rs
+++ b/reachhead_entry/src/main.rs
@@ -12,5 +12,5 @@
 use reachhead_ops::cli;
 
 fn main() -> ExitCode {
-    cli::daemon("entry", process::run)
+    cli::run_daemon("entry", process::run)
 }
--- a/reachhead_entry/src/process/claims.rs
+++ b/reachhead_entry/src/process/claims.rs
@@ -115,7 +115,7 @@
         batch: Batch::default(),
         last: None,
     };
-    let runtime = runtime::single()?;
+    let runtime = runtime::current_thread()?;
     thread::Builder::new()
         .name("claims".to_owned())
         .spawn(move || runtime.block_on(batcher.run()))?;
--- a/reachhead_entry/src/process/metrics.rs
+++ b/reachhead_entry/src/process/metrics.rs
@@ -5,7 +5,7 @@
     metrics::{counter::Counter, family::Family, histogram::Histogram},
     registry::Registry,
 };
-use reachhead_ops::latency::{Latencies, latencies};
+use reachhead_ops::latency::{LatencyHistograms, latency_histograms};
 use reachhead_types::{error::ErrorKind, id::RouteName};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 pub struct Metrics {
     ran: Family<RouteLabels, Counter>,
-    latency: Latencies<RouteLabels>,
+    latency: LatencyHistograms<RouteLabels>,
     errors: Family<ErrorLabels, Counter>,
     /// Requests sent to minions, retries included.
     pub sends: Counter,
@@ -44,7 +44,7 @@
     pub fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
             ran: Family::default(),
-            latency: latencies(),
+            latency: latency_histograms(),
             errors: Family::default(),
             sends: Counter::default(),
             replays: Counter::default(),
--- a/reachhead_entry/src/process/mod.rs
+++ b/reachhead_entry/src/process/mod.rs
@@ -61,7 +61,7 @@
     let claims = claims::start(&settings)?;
     let asks = asks::start(&settings)?;
 
-    let runtime = runtime::single()?;
+    let runtime = runtime::current_thread()?;
     let core = Core::new(settings, incarnation, metrics, claims, asks, ready);
     LocalSet::new().block_on(&runtime, path(core, updates, asked))?;
     Ok(())
--- a/reachhead_entry/src/process/observed.rs
+++ b/reachhead_entry/src/process/observed.rs
@@ -6,7 +6,7 @@
 };
 
 use futures::future::{BoxFuture, FutureExt};
-use reachhead_ops::listener::Observed;
+use reachhead_ops::listener::ProcessStatus;
 use reachhead_types::boot_instant::BootInstant;
 use serde_json::{Value, json};
 use tokio::{
@@ -62,8 +62,8 @@
     }
 }
 
-impl Observed for EntryObserved {
-    fn not_ready(&self) -> Option<String> {
+impl ProcessStatus for EntryObserved {
+    fn unready_reason(&self) -> Option<String> {
         self.ready.get().map(str::to_owned)
     }
 
--- a/reachhead_node/src/main.rs
+++ b/reachhead_node/src/main.rs
@@ -65,7 +65,7 @@
         println!("the settings of {} are good", settings.node);
         return ExitCode::SUCCESS;
     }
-    if let Err(error) = logs::start() {
+    if let Err(error) = logs::init() {
         eprintln!("reachhead-node: no log can be written: {error}");
         return ExitCode::from(EXIT_RUNTIME);
     }
--- a/reachhead_node/src/metrics.rs
+++ b/reachhead_node/src/metrics.rs
@@ -6,7 +6,7 @@
     registry::Registry,
 };
 use reachhead_jobs::ports::{Answer, WorkerError};
-use reachhead_ops::latency::{Latencies, latencies};
+use reachhead_ops::latency::{LatencyHistograms, latency_histograms};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OrderLabels {
@@ -29,7 +29,7 @@
 pub struct Metrics {
     orders: Family<OrderLabels, Counter>,
     answers: Family<AnswerLabels, Counter>,
-    latency: Latencies<CallLabels>,
+    latency: LatencyHistograms<CallLabels>,
     /// Number of times that this process took over a pool.
     pub pools_taken: Counter,
     /// Transactions that the store refused as invalid, such as a row that is too long.
@@ -42,7 +42,7 @@
         let metrics = Self {
             orders: Family::default(),
             answers: Family::default(),
-            latency: latencies(),
+            latency: latency_histograms(),
             pools_taken: Counter::default(),
             store_refusals: Counter::default(),
         };
--- a/reachhead_node/src/observe.rs
+++ b/reachhead_node/src/observe.rs
@@ -5,7 +5,7 @@
 use futures::future::{BoxFuture, FutureExt};
 use hyper::StatusCode;
 use prometheus_client::{encoding::text::encode, registry::Registry};
-use reachhead_ops::http::{self, Handler, WholeRequest, WholeResponse};
+use reachhead_ops::http::{self, BufferedRequest, BufferedResponse, Handler};
 use serde_json::{Value, json};
 
 use crate::node::Node;
@@ -25,11 +25,11 @@
         Self { node, registry: Mutex::new(registry) }
     }
 
-    fn metrics(&self) -> WholeResponse {
+    fn metrics(&self) -> BufferedResponse {
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut body = String::new();
         match encode(&mut body, &registry) {
-            Ok(()) => http::typed(StatusCode::OK, METRICS_TYPE, body.into_bytes()),
+            Ok(()) => http::with_content_type(StatusCode::OK, METRICS_TYPE, body.into_bytes()),
             Err(error) => http::text(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         }
     }
@@ -63,7 +63,7 @@
 }
 
 impl Handler for ObserveHandler {
-    fn handle(&self, request: WholeRequest) -> BoxFuture<'_, WholeResponse> {
+    fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse> {
         async move {
             match request.path.as_str() {
                 "/metrics" => self.metrics(),
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -18,7 +18,7 @@
 };
 use reachhead_ops::{
     client::{CallError, HttpClient},
-    http::{self, Handler, WholeRequest, WholeResponse},
+    http::{self, BufferedRequest, BufferedResponse, Handler},
 };
 use reachhead_types::{
     id::{CustomerName, JobId, NodeName, PoolName, RouteName, WorkerId},
@@ -304,7 +304,7 @@
 }
 
 impl Handler for PeerHandler {
-    fn handle(&self, request: WholeRequest) -> BoxFuture<'_, WholeResponse> {
+    fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse> {
         async move {
             match serde_json::from_slice::<PeerRequest>(&request.body) {
                 Ok(request) => http::json(StatusCode::OK, &self.answer(request).await),
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -102,7 +102,7 @@
 ///
 /// Any [`ProcessError`].
 pub fn run(settings: Settings) -> Result<(), ProcessError> {
-    runtime::single()?.block_on(serve(settings))
+    runtime::current_thread()?.block_on(serve(settings))
 }
 
 async fn serve(settings: Settings) -> Result<(), ProcessError> {
--- a/reachhead_node/src/submit/forwarding.rs
+++ b/reachhead_node/src/submit/forwarding.rs
@@ -113,7 +113,7 @@
     let outcomes = match node.peers.call(owner, &request, FORWARD_TIMEOUT).await {
         Ok(PeerReply::Stored(outcomes)) if outcomes.len() == batch.len() => outcomes,
         Ok(_) => vec![StoreOutcome::Unknown; batch.len()],
-        Err(CallError::NotSent(error) | CallError::NoListener(error)) => {
+        Err(CallError::NotSent(error) | CallError::PortClosed(error)) => {
             log::info!("pool={pool} owner={owner} could not be reached: {error}");
             let retriable =
                 batch.into_iter().filter(|submission| submission.until > Instant::now());
--- a/reachhead_ops/src/cli.rs
+++ b/reachhead_ops/src/cli.rs
@@ -50,7 +50,7 @@
 
 /// The main function of a long-lived process: reads the command line and the settings of
 /// `reachhead-PROGRAM`, starts the logger, and calls `run`.
-pub fn daemon<S: Section, E: Display>(
+pub fn run_daemon<S: Section, E: Display>(
     program: &str,
     run: impl FnOnce(S) -> Result<(), E>,
 ) -> ExitCode {
@@ -61,9 +61,9 @@
     };
     let settings = match reachhead_config::load(program, &args.settings) {
         Ok(settings) => settings,
-        Err(error) => return fail(&error, EXIT_SETTINGS),
+        Err(error) => return report_failure(&error, EXIT_SETTINGS),
     };
-    start_logs();
+    init_logger();
     match run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -74,7 +74,7 @@
 }
 
 /// Prints `report` with its places and returns `code` to end with.
-pub fn fail(report: &dyn Diagnostic, code: u8) -> ExitCode {
+pub fn report_failure(report: &dyn Diagnostic, code: u8) -> ExitCode {
     let mut text = String::new();
     match GraphicalReportHandler::new().render_report(&mut text, report) {
         Ok(()) => eprint!("{text}"),
@@ -84,6 +84,6 @@
 }
 
 /// Starts the logger: info and up, unless `RUST_LOG` says otherwise.
-pub fn start_logs() {
+pub fn init_logger() {
     env_logger::Builder::new().filter_level(LevelFilter::Info).parse_default_env().init();
 }
--- a/reachhead_ops/src/client.rs
+++ b/reachhead_ops/src/client.rs
@@ -47,7 +47,7 @@
     NotSent(String),
     /// Nothing of the call was sent: the peer's host answers that nobody listens at the address.
     #[error("nobody listens there: {0}")]
-    NoListener(String),
+    PortClosed(String),
     /// The call was sent, and there is no whole answer.
     #[error("{0}")]
     Lost(String),
@@ -106,7 +106,7 @@
                 }
                 Some(Err(Failure::Broken(error))) => return Err(CallError::Broken(error)),
                 None => {
-                    self.forget(address);
+                    self.close_idle(address);
                     return Err(CallError::Lost("no answer before the deadline".to_owned()));
                 }
             }
@@ -146,7 +146,7 @@
             if idle.len() > SHORT_PEERS { idle.pop_front() } else { None }
         };
         if let Some(oldest) = oldest {
-            self.forget(oldest);
+            self.close_idle(oldest);
         }
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Closes the idle connections to a peer.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle().remove(&address);
     }
 }
@@ -217,7 +217,7 @@
     let stream = match time::timeout_at(end, connecting).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-            return Err(CallError::NoListener(error.to_string()));
+            return Err(CallError::PortClosed(error.to_string()));
         }
         Ok(Err(error)) => return Err(CallError::NotSent(error.to_string())),
         Err(_) => return Err(CallError::NotSent("no connection before the deadline".to_owned())),
--- a/reachhead_ops/src/bounded.rs
+++ b/reachhead_ops/src/deadline.rs
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// `NotSent` if no byte was written, else `Lost`.
-pub async fn call_until(
+pub async fn call_with_deadline(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     deadline: Deadline,
--- a/reachhead_ops/src/http.rs
+++ b/reachhead_ops/src/http.rs
@@ -36,7 +36,7 @@
 
 /// A request whose body has arrived whole.
 #[derive(Debug)]
-pub struct WholeRequest {
+pub struct BufferedRequest {
     /// The method.
     pub method: Method,
     /// The path.
@@ -50,29 +50,33 @@
 }
 
 /// An answer with a whole body.
-pub type WholeResponse = Response<Full<Bytes>>;
+pub type BufferedResponse = Response<Full<Bytes>>;
 
 /// Answers requests.
 pub trait Handler: Send + Sync + 'static {
     /// Returns the answer to `request`.
-    fn handle(&self, request: WholeRequest) -> BoxFuture<'_, WholeResponse>;
+    fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse>;
 }
 
 /// Returns an answer with `value` as JSON.
-pub fn json<T: Serialize>(status: StatusCode, value: &T) -> WholeResponse {
+pub fn json<T: Serialize>(status: StatusCode, value: &T) -> BufferedResponse {
     match serde_json::to_vec(value) {
-        Ok(body) => typed(status, "application/json", body),
+        Ok(body) => with_content_type(status, "application/json", body),
         Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
 /// Returns an answer with `body` as plain text.
-pub fn text(status: StatusCode, body: &str) -> WholeResponse {
-    typed(status, "text/plain; charset=utf-8", body.to_owned().into_bytes())
+pub fn text(status: StatusCode, body: &str) -> BufferedResponse {
+    with_content_type(status, "text/plain; charset=utf-8", body.to_owned().into_bytes())
 }
 
 /// Returns an answer with `body` of the media type `kind`.
-pub fn typed(status: StatusCode, kind: &'static str, body: Vec<u8>) -> WholeResponse {
+pub fn with_content_type(
+    status: StatusCode,
+    kind: &'static str,
+    body: Vec<u8>,
+) -> BufferedResponse {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
@@ -91,7 +95,7 @@
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = runtime::stopped(&mut stop) => break,
+            () = runtime::wait_for_stop(&mut stop) => break,
         };
         match stream {
             Ok((stream, _)) => {
@@ -139,7 +143,7 @@
         let stopped = tokio::select! {
             // A connection that breaks is its caller's affair.
             _ = connection.as_mut() => false,
-            () = runtime::stopped(&mut self.stop) => true,
+            () = runtime::wait_for_stop(&mut self.stop) => true,
         };
         if stopped {
             connection.as_mut().graceful_shutdown();
@@ -148,7 +152,11 @@
     }
 }
 
-async fn answer(handler: &dyn Handler, request: Request<Incoming>, limit: usize) -> WholeResponse {
+async fn answer(
+    handler: &dyn Handler,
+    request: Request<Incoming>,
+    limit: usize,
+) -> BufferedResponse {
     let (head, body) = request.into_parts();
     let body = match time::timeout(BODY_TIME, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -158,7 +166,7 @@
         Ok(Err(error)) => return text(StatusCode::BAD_REQUEST, &format!("{error}\n")),
         Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body did not arrive in time\n"),
     };
-    let request = WholeRequest {
+    let request = BufferedRequest {
         method: head.method,
         path: head.uri.path().to_owned(),
         query: head.uri.query().unwrap_or_default().to_owned(),
--- a/reachhead_ops/src/latency.rs
+++ b/reachhead_ops/src/latency.rs
@@ -15,10 +15,10 @@
 const BUCKETS: u16 = 16;
 
 /// Latencies in seconds by their labels.
-pub type Latencies<L> = Family<L, Histogram>;
+pub type LatencyHistograms<L> = Family<L, Histogram>;
 
 /// Returns an empty family of histograms.
-pub fn latencies<L: Clone + std::hash::Hash + Eq>() -> Latencies<L> {
+pub fn latency_histograms<L: Clone + std::hash::Hash + Eq>() -> LatencyHistograms<L> {
     let histogram: fn() -> Histogram =
         || Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKETS));
     Family::new_with_constructor(histogram)
--- a/reachhead_ops/src/listener.rs
+++ b/reachhead_ops/src/listener.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    http::{self, Handler, WholeRequest, WholeResponse},
+    http::{self, BufferedRequest, BufferedResponse, Handler},
     runtime,
 };
 
@@ -22,25 +22,25 @@
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// A process as its operators see it.
-pub trait Observed: Send + Sync + 'static {
+pub trait ProcessStatus: Send + Sync + 'static {
     /// Returns why the process is not ready, or `None` if it is.
-    fn not_ready(&self) -> Option<String>;
+    fn unready_reason(&self) -> Option<String>;
 
     /// Returns the process's state for `/state`.
     fn state(&self) -> BoxFuture<'_, Value>;
 
     /// Brings metrics up to date that are read off the state; called before each `/metrics`.
-    fn refresh(&self) {}
+    fn refresh_metrics(&self) {}
 }
 
 struct OpsHandler {
-    observed: Arc<dyn Observed>,
+    observed: Arc<dyn ProcessStatus>,
     registry: Mutex<Registry>,
 }
 
 impl OpsHandler {
-    fn ready(&self) -> WholeResponse {
-        match self.observed.not_ready() {
+    fn ready(&self) -> BufferedResponse {
+        match self.observed.unready_reason() {
             None => http::text(StatusCode::OK, "ready\n"),
             Some(reason) => {
                 http::text(StatusCode::SERVICE_UNAVAILABLE, &format!("not ready: {reason}\n"))
@@ -48,19 +48,19 @@
         }
     }
 
-    fn metrics(&self) -> WholeResponse {
-        self.observed.refresh();
+    fn metrics(&self) -> BufferedResponse {
+        self.observed.refresh_metrics();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut body = String::new();
         match encode(&mut body, &registry) {
-            Ok(()) => http::typed(StatusCode::OK, METRICS_TYPE, body.into_bytes()),
+            Ok(()) => http::with_content_type(StatusCode::OK, METRICS_TYPE, body.into_bytes()),
             Err(error) => http::text(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         }
     }
 }
 
 impl Handler for OpsHandler {
-    fn handle(&self, request: WholeRequest) -> BoxFuture<'_, WholeResponse> {
+    fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse> {
         async move {
             if request.method != Method::GET {
                 return http::text(StatusCode::METHOD_NOT_ALLOWED, "GET only\n");
@@ -84,7 +84,7 @@
 /// Fails if the address can't be listened on or there is no thread.
 pub fn start(
     address: SocketAddr,
-    observed: Arc<dyn Observed>,
+    observed: Arc<dyn ProcessStatus>,
     registry: Registry,
 ) -> io::Result<()> {
     let listener = std::net::TcpListener::bind(address).map_err(|error| {
@@ -92,7 +92,7 @@
     })?;
     listener.set_nonblocking(true)?;
     let handler = Arc::new(OpsHandler { observed, registry: Mutex::new(registry) });
-    let runtime = runtime::single()?;
+    let runtime = runtime::current_thread()?;
     thread::Builder::new().name("ops".to_owned()).spawn(move || {
         runtime.block_on(async move {
             let (_keep, stop) = watch::channel(false);
--- a/reachhead_ops/src/logs.rs
+++ b/reachhead_ops/src/logs.rs
@@ -96,7 +96,7 @@
 /// # Errors
 ///
 /// If there is no thread for it.
-pub fn start() -> io::Result<()> {
+pub fn init() -> io::Result<()> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     thread::Builder::new().name("logs".to_owned()).spawn(move || write_lines(&receiver))?;
     env_logger::Builder::new()
--- a/reachhead_ops/src/runtime.rs
+++ b/reachhead_ops/src/runtime.rs
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// Fails if the system gives no event queue.
-pub fn single() -> io::Result<Runtime> {
+pub fn current_thread() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
 
@@ -33,6 +33,6 @@
 }
 
 /// Waits until `stop` turns true or its sender is gone.
-pub async fn stopped(stop: &mut watch::Receiver<bool>) {
+pub async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|&stop| stop).await;
 }
--- a/reachhead_ops/tests/bounded.rs
+++ b/reachhead_ops/tests/deadline.rs
@@ -12,8 +12,8 @@
 use http_body_util::Full;
 use hyper::Request;
 use reachhead_ops::{
-    bounded::{Deadline, call_until},
     client::CallError,
+    deadline::{Deadline, call_with_deadline},
 };
 use reachhead_types::boot_instant::BootInstant;
 use tokio::{
@@ -64,7 +64,7 @@
 async fn an_order_in_time_is_answered() {
     let (address, _seen) = server(true).await;
     let until = BootInstant::now() + Duration::from_secs(5);
-    let answer = call_until(address, order(address), Deadline::new(until)).await.unwrap();
+    let answer = call_with_deadline(address, order(address), Deadline::new(until)).await.unwrap();
     assert_eq!((answer.status().as_u16(), answer.body().as_ref()), (200, b"ok".as_ref()));
 }
 
@@ -72,7 +72,7 @@
 async fn a_process_that_is_frozen_between_the_check_and_the_send_sends_nothing() {
     let (address, seen) = server(true).await;
     let until = BootInstant::now() + Duration::from_millis(30);
-    let call = call_until(address, order(address), Deadline::new(until));
+    let call = call_with_deadline(address, order(address), Deadline::new(until));
     let (result, ()) = tokio::join!(call, freeze(Duration::from_millis(120)));
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
     assert_eq!(time::timeout(Duration::from_secs(5), seen).await.unwrap().unwrap().0, 0);
@@ -89,7 +89,7 @@
 async fn a_host_that_was_suspended_before_the_send_sends_nothing() {
     let (address, seen) = server(true).await;
     let deadline = Deadline::new(BootInstant::now() + Duration::from_secs(2)).with_clock(resumed);
-    let result = call_until(address, order(address), deadline).await;
+    let result = call_with_deadline(address, order(address), deadline).await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
     // Whether it connected before it looked at the clock is left open; not a byte may arrive.
     let bytes =
@@ -106,7 +106,7 @@
     }
     let (address, seen) = server(false).await;
     let deadline = Deadline::new(BootInstant::now() + Duration::from_secs(4)).with_clock(clock);
-    let call = call_until(address, order(address), deadline);
+    let call = call_with_deadline(address, order(address), deadline);
     let sleep = async {
         time::sleep(Duration::from_millis(100)).await;
         SUSPENDED.store(true, Ordering::Relaxed);
@@ -122,7 +122,7 @@
 async fn an_order_without_an_answer_is_lost_and_its_connection_reset() {
     let (address, seen) = server(false).await;
     let until = BootInstant::now() + Duration::from_millis(60);
-    let result = call_until(address, order(address), Deadline::new(until)).await;
+    let result = call_with_deadline(address, order(address), Deadline::new(until)).await;
     assert!(matches!(result, Err(CallError::Lost(_))), "{result:?}");
     let (count, reset) = time::timeout(Duration::from_secs(5), seen).await.unwrap().unwrap();
     assert!(count > 0 && reset, "what the network still holds is lost with a reset");
@@ -134,6 +134,6 @@
     let address = listener.local_addr().unwrap();
     drop(listener);
     let until = BootInstant::now() + Duration::from_secs(1);
-    let result = call_until(address, order(address), Deadline::new(until)).await;
+    let result = call_with_deadline(address, order(address), Deadline::new(until)).await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
 }
--- a/reachhead_standin/src/main.rs
+++ b/reachhead_standin/src/main.rs
@@ -94,7 +94,7 @@
         Ok(args) => args,
         Err(code) => return code,
     };
-    cli::start_logs();
+    cli::init_logger();
     match run(args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -105,7 +105,7 @@
 }
 
 fn run(args: Args) -> io::Result<()> {
-    runtime::single()?.block_on(async {
+    runtime::current_thread()?.block_on(async {
         match args.part {
             Part::Store(args) => store::run(args.address).await,
             Part::Minion(args) => minion::run(&args.address, args.work, args.slots).await,
--- a/reachhead_standin/src/minion.rs
+++ b/reachhead_standin/src/minion.rs
@@ -228,7 +228,7 @@
     BodyExt::boxed(StreamBody::new(sent.chain(broken)))
 }
 
-fn whole(response: http::WholeResponse) -> Response<Body> {
+fn whole(response: http::BufferedResponse) -> Response<Body> {
     response.map(|body| body.map_err(never).boxed())
 }
 
@@ -266,7 +266,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = runtime::stopped(&mut stopped) => break,
+            () = runtime::wait_for_stop(&mut stopped) => break,
         };
         if let Ok((stream, _)) = accepted {
             let open = OpenConnection::new(Arc::clone(&minion));
@@ -295,7 +295,7 @@
     tokio::pin!(connection);
     let is_stopped = tokio::select! {
         _ = connection.as_mut() => false,
-        () = runtime::stopped(&mut stopped) => true,
+        () = runtime::wait_for_stop(&mut stopped) => true,
     };
     if is_stopped {
         connection.as_mut().graceful_shutdown();
--- a/reachhead_standin/src/store.rs
+++ b/reachhead_standin/src/store.rs
@@ -13,7 +13,7 @@
 use futures::future::{BoxFuture, FutureExt};
 use hyper::StatusCode;
 use reachhead_ops::{
-    http::{self, Handler, WholeRequest, WholeResponse},
+    http::{self, BufferedRequest, BufferedResponse, Handler},
     runtime,
 };
 use reachhead_store::{
@@ -100,15 +100,15 @@
         self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set_fault(&self, body: &[u8]) -> WholeResponse {
+    fn set_fault(&self, body: &[u8]) -> BufferedResponse {
         knob(body, |fault| *self.fault() = fault)
     }
 
-    fn add_list(&self, body: &[u8]) -> WholeResponse {
+    fn add_list(&self, body: &[u8]) -> BufferedResponse {
         knob(body, |list| self.platform.add_list(list))
     }
 
-    fn hosts(&self, body: &[u8]) -> Result<WholeResponse, String> {
+    fn hosts(&self, body: &[u8]) -> Result<BufferedResponse, String> {
         let after: Revision = parse(body)?;
         let reads = self.counts.lists.fetch_add(1, Ordering::Relaxed) as usize;
         let list = match self.fault().stale {
@@ -118,7 +118,7 @@
         Ok(http::json(StatusCode::OK, &list))
     }
 
-    fn call_host(&self, path: &str, body: &[u8]) -> Result<WholeResponse, String> {
+    fn call_host(&self, path: &str, body: &[u8]) -> Result<BufferedResponse, String> {
         if self.fault().refuse_hosts {
             return Ok(http::text(StatusCode::SERVICE_UNAVAILABLE, "down\n"));
         }
@@ -130,7 +130,7 @@
         Ok(http::json(StatusCode::OK, &()))
     }
 
-    fn status(&self, body: &[u8]) -> Result<WholeResponse, String> {
+    fn status(&self, body: &[u8]) -> Result<BufferedResponse, String> {
         let hosts: Vec<HostId> = parse(body)?;
         Ok(http::json(StatusCode::OK, &self.platform.status(&hosts)))
     }
@@ -153,7 +153,7 @@
         is_lost
     }
 
-    async fn call(&self, path: &str, body: &[u8]) -> WholeResponse {
+    async fn call(&self, path: &str, body: &[u8]) -> BufferedResponse {
         let fault = self.fault().clone();
         time::sleep(Duration::from_millis(fault.delay)).await;
         let is_row_call = [READ_PATH, SCAN_PATH, COMMIT_PATH].contains(&path);
@@ -174,19 +174,19 @@
         result.unwrap_or_else(|error| http::text(StatusCode::BAD_REQUEST, &error))
     }
 
-    async fn read(&self, body: &[u8]) -> Result<WholeResponse, String> {
+    async fn read(&self, body: &[u8]) -> Result<BufferedResponse, String> {
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
         let rows = self.store.read(parse(body)?).await.map_err(|error| error.to_string())?;
         Ok(http::json(StatusCode::OK, &rows))
     }
 
-    async fn scan(&self, body: &[u8]) -> Result<WholeResponse, String> {
+    async fn scan(&self, body: &[u8]) -> Result<BufferedResponse, String> {
         self.counts.scans.fetch_add(1, Ordering::Relaxed);
         let page = self.store.scan(parse(body)?).await.map_err(|error| error.to_string())?;
         Ok(http::json(StatusCode::OK, &page))
     }
 
-    async fn commit(&self, body: &[u8]) -> Result<WholeResponse, String> {
+    async fn commit(&self, body: &[u8]) -> Result<BufferedResponse, String> {
         self.counts.commits.fetch_add(1, Ordering::Relaxed);
         let txn: Txn = parse(body)?;
         let is_lost = self.take_loss(&txn);
@@ -199,7 +199,7 @@
 }
 
 /// Sets what a test posted.
-fn knob<T: for<'de> Deserialize<'de>>(body: &[u8], set: impl FnOnce(T)) -> WholeResponse {
+fn knob<T: for<'de> Deserialize<'de>>(body: &[u8], set: impl FnOnce(T)) -> BufferedResponse {
     match parse(body) {
         Ok(value) => {
             set(value);
@@ -214,7 +214,7 @@
 }
 
 impl Handler for StoreStandin {
-    fn handle(&self, request: WholeRequest) -> BoxFuture<'_, WholeResponse> {
+    fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse> {
         async move {
             match request.path.as_str() {
                 "/fault" => self.set_fault(&request.body),
