--- a/reachhead_control/src/clean.rs
+++ b/reachhead_control/src/claim_cleaner.rs
@@ -46,13 +46,13 @@
 }
 
 /// Deletes old claims on behalf of all hosts; whoever writes a mark cleans once.
-pub struct Cleaner {
+pub struct ClaimCleaner {
     store: Arc<dyn Store>,
     step: Duration,
     seen: Option<Seen>,
 }
 
-impl Cleaner {
+impl ClaimCleaner {
     /// Returns a cleaner by `settings`.
     pub fn new(store: Arc<dyn Store>, settings: &CleanSettings) -> Self {
         let step = Duration::from_millis(settings.keep.get()) / STEPS as u32;
--- a/reachhead_control/src/main.rs
+++ b/reachhead_control/src/main.rs
@@ -1,13 +1,13 @@
 //! Follows the configuration and the entry hosts' membership and feeds both to its host.
 
-mod answer;
-mod clean;
-mod follow;
-mod gossip;
-mod members;
+mod claim_cleaner;
+mod follower;
+mod gossiper;
+mod member_table;
 mod metrics;
-mod pools;
+mod pool_reconciler;
 mod process;
+mod responder;
 mod timeouts;
 mod view;
 
--- a/reachhead_control/src/pools.rs
+++ b/reachhead_control/src/pool_reconciler.rs
@@ -27,7 +27,7 @@
 const QUIET_ROUNDS: u32 = 3;
 
 /// Rounds over the pools of this host.
-pub struct PoolRounds {
+pub struct PoolReconciler {
     view: Arc<View>,
     controller: Controller,
     round: Duration,
@@ -36,7 +36,7 @@
     loads: Arc<MinionPlacements>,
 }
 
-impl PoolRounds {
+impl PoolReconciler {
     /// Returns rounds by `settings`.
     pub fn new(
         view: Arc<View>,
--- a/reachhead_control/src/process.rs
+++ b/reachhead_control/src/process.rs
@@ -24,8 +24,8 @@
 use tokio::sync::watch;
 
 use crate::{
-    answer::ControlResponder, clean::Cleaner, follow::Follower, gossip::Gossiper, metrics::Metrics,
-    pools::PoolRounds, timeouts::Timeouts, view::View,
+    claim_cleaner::ClaimCleaner, follower::Follower, gossiper::Gossiper, metrics::Metrics,
+    pool_reconciler::PoolReconciler, responder::ControlResponder, timeouts::Timeouts, view::View,
 };
 
 struct ControlObserved {
@@ -77,9 +77,10 @@
         control: settings.link.advertise.unwrap_or(settings.link.address),
         entry: settings.link.entry,
     };
-    let cleaner = Cleaner::new(Arc::clone(&store), &settings.clean);
+    let cleaner = ClaimCleaner::new(Arc::clone(&store), &settings.clean);
     let platform: Arc<dyn Platform> = Arc::new(connect());
-    let pools = PoolRounds::new(Arc::clone(&view), Arc::clone(&store), platform, &settings.pools);
+    let pools =
+        PoolReconciler::new(Arc::clone(&view), Arc::clone(&store), platform, &settings.pools);
     let follower = Follower::new(view, store, hosts, follow, own);
     emit(Event::Started, format_args!("control of {}", settings.host));
     run_on_store(follower, cleaner, pools)?;
@@ -87,7 +88,11 @@
 }
 
 /// Works on the store on this thread until a shutdown is asked for.
-fn run_on_store(follower: Follower, cleaner: Cleaner, pools: PoolRounds) -> io::Result<()> {
+fn run_on_store(
+    follower: Follower,
+    cleaner: ClaimCleaner,
+    pools: PoolReconciler,
+) -> io::Result<()> {
     runtime::current_thread()?.block_on(async move {
         let (stop, stopped) = watch::channel(false);
         let following = tokio::spawn(follower.run(stopped.clone()));
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -23,7 +23,7 @@
 };
 use serde::Serialize;
 
-use crate::{members::MemberTable, timeouts::Timeouts};
+use crate::{member_table::MemberTable, timeouts::Timeouts};
 
 /// What the threads of this process share.
 pub struct View {
