--- a/reachhead_control/src/follower.rs
+++ b/reachhead_control/src/follower.rs
@@ -1,6 +1,6 @@
-//! Reads the store: the configuration's version, and the members' rows.
+//! Polls the store for configuration and membership, and writes this host's heartbeat.
 //!
-//! The whole fleet reads at a fixed rate, so each host's period grows with the number of hosts.
+//! The fleet as a whole polls at a fixed rate, so each host's period grows with the number of hosts.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -28,43 +28,43 @@
 
 use crate::view::View;
 
-/// Entry hosts at most: one scan has them all.
-const MEMBER_LIMIT: u32 = 1000;
+/// Maximum number of entry hosts; a single scan returns all of them.
+const MAX_MEMBERS: u32 = 1000;
 
-/// How far a period is varied, as a share of it, so that hosts don't read in step.
+/// Random variation of a period, as a fraction of it, so that hosts don't poll in lockstep.
 const JITTER: f64 = 0.1;
 
-/// What is done again and again.
+/// A task that runs periodically in its own loop.
 #[derive(Debug, Clone, Copy)]
-enum Duty {
-    /// Keeping this host's row alive.
+enum PeriodicTask {
+    /// Writing this host's heartbeat.
     Heartbeat,
-    /// Reading the list of entry hosts.
+    /// Reading the membership rows of the entry hosts.
     Members,
     /// Reading the configuration.
-    Version,
+    Config,
     /// Reading the platform's list of hosts.
     Hosts,
 }
 
-/// This host's row on the list.
+/// This host's membership row.
 struct OwnRow {
     member: Member,
-    /// Its revision, as long as it is on the list.
+    /// Revision of the row; `None` while the host is not a member.
     revision: Option<Revision>,
 }
 
-/// Follows the store on behalf of one host.
+/// Polls the store for one host and keeps its membership row alive.
 pub struct Follower {
     view: Arc<View>,
     store: Arc<dyn Store>,
     hosts: Arc<dyn HostLister>,
     settings: FollowSettings,
-    own: Mutex<OwnRow>,
+    own_row: Mutex<OwnRow>,
 }
 
 impl Follower {
-    /// Returns a follower that keeps the row of `own` alive.
+    /// Returns a follower that keeps the membership row of `own` alive.
     pub fn new(
         view: Arc<View>,
         store: Arc<dyn Store>,
@@ -72,104 +72,104 @@
         settings: FollowSettings,
         own: Member,
     ) -> Self {
-        let own = Mutex::new(OwnRow { member: own, revision: None });
-        Self { view, store, hosts, settings, own }
+        let own_row = Mutex::new(OwnRow { member: own, revision: None });
+        Self { view, store, hosts, settings, own_row }
     }
 
-    /// Follows until `stop` turns true, then takes this host off the list.
+    /// Polls until `stop` turns true, then removes this host from the membership list.
     ///
-    /// Each duty has a loop of its own: one after the other, with a slow store, the list would be read so rarely that hosts stopped
-    /// serving for its age.
+    /// Each task has its own loop: run one after the other on a slow store, they would refresh the list so rarely that hosts would
+    /// stop serving because of its age.
     pub async fn run(self, stop: watch::Receiver<bool>) {
         tokio::join!(
-            self.repeat(Duty::Heartbeat, stop.clone()),
-            self.repeat(Duty::Members, stop.clone()),
-            self.repeat(Duty::Version, stop.clone()),
-            self.repeat(Duty::Hosts, stop),
+            self.repeat(PeriodicTask::Heartbeat, stop.clone()),
+            self.repeat(PeriodicTask::Members, stop.clone()),
+            self.repeat(PeriodicTask::Config, stop.clone()),
+            self.repeat(PeriodicTask::Hosts, stop),
         );
         self.leave().await;
     }
 
-    /// Does a duty at once and then once a period, counted from beginning to beginning.
-    async fn repeat(&self, duty: Duty, mut stop: watch::Receiver<bool>) {
-        let mut due = time::Instant::now();
+    /// Runs `task` at once and then once per period, measured from start to start.
+    async fn repeat(&self, task: PeriodicTask, mut stop: watch::Receiver<bool>) {
+        let mut next_start = time::Instant::now();
         loop {
             tokio::select! {
                 () = runtime::wait_for_stop(&mut stop) => break,
-                () = time::sleep_until(due) => {}
+                () = time::sleep_until(next_start) => {}
             }
-            due = time::Instant::now() + self.period(duty);
-            match duty {
-                Duty::Heartbeat => self.write_own().await,
-                Duty::Members => self.read_members().await,
-                Duty::Version => self.follow_version().await,
-                Duty::Hosts => self.follow_hosts().await,
+            next_start = time::Instant::now() + self.period(task);
+            match task {
+                PeriodicTask::Heartbeat => self.send_heartbeat().await,
+                PeriodicTask::Members => self.follow_members().await,
+                PeriodicTask::Config => self.follow_config().await,
+                PeriodicTask::Hosts => self.follow_hosts().await,
             }
         }
     }
 
-    fn own(&self) -> MutexGuard<'_, OwnRow> {
-        self.own.lock().unwrap_or_else(PoisonError::into_inner)
+    fn own_row(&self) -> MutexGuard<'_, OwnRow> {
+        self.own_row.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn period(&self, duty: Duty) -> Duration {
-        let base = match duty {
-            Duty::Heartbeat | Duty::Members => self.settings.members,
-            Duty::Version => self.settings.version,
-            Duty::Hosts => self.settings.hosts,
+    fn period(&self, task: PeriodicTask) -> Duration {
+        let period_per_host = match task {
+            PeriodicTask::Heartbeat | PeriodicTask::Members => self.settings.members,
+            PeriodicTask::Config => self.settings.version,
+            PeriodicTask::Hosts => self.settings.hosts,
         };
         let hosts = self.view.members().len().max(1) as u64;
         let jitter = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
-        Duration::from_millis(base.get() * hosts).mul_f64(jitter)
+        Duration::from_millis(period_per_host.get() * hosts).mul_f64(jitter)
     }
 
-    async fn follow_version(&self) {
-        let fetched = config::fetch(&*self.store, self.view.version()).await;
-        self.note(match fetched {
+    async fn follow_config(&self) {
+        let update = config::fetch(&*self.store, self.view.version()).await;
+        self.record_result(match update {
             Ok(None) => Ok(()),
             Ok(Some(ConfigUpdate::Whole(snapshot))) => {
-                self.view.adopt(snapshot);
+                self.view.adopt_snapshot(snapshot);
                 Ok(())
             }
             Ok(Some(ConfigUpdate::Delta(delta))) => {
-                // A gap means that the log was cut meanwhile; the next round reads everything.
-                let _ = self.view.apply(&delta);
+                // A gap means that the log was truncated meanwhile; the next round reads the whole configuration.
+                let _ = self.view.apply_delta(&delta);
                 Ok(())
             }
             Err(error) => Err(error),
         });
     }
 
-    /// Reads the platform's host list; it is another service, which says nothing of the store.
+    /// Reads the platform's host list. It is a separate service, so its errors don't count as store errors.
     async fn follow_hosts(&self) {
         match self.hosts.list(self.view.hosts_revision()).await {
             Ok(Some(list)) => self.view.adopt_leaving(LeavingHosts::from(&list)),
             Ok(None) => {}
-            Err(error) => debug!("following the host list: {error}"),
+            Err(error) => debug!("reading the platform's host list failed: {error}"),
         }
     }
 
-    fn note(&self, result: Result<(), StoreError>) {
+    fn record_result(&self, result: Result<(), StoreError>) {
         if let Err(error) = &result {
-            debug!("following the store: {error}");
+            debug!("polling the store failed: {error}");
         }
-        self.view.note_store(result.is_ok());
+        self.view.record_store_result(result.is_ok());
     }
 
-    /// Counts this host's row up, or puts it on the list again if it was taken off.
-    async fn write_own(&self) {
-        let result = self.count_up().await;
-        self.note(result);
+    /// Increments the counter in this host's row, or rejoins if the row was removed.
+    async fn send_heartbeat(&self) {
+        let result = self.write_heartbeat().await;
+        self.record_result(result);
     }
 
-    async fn count_up(&self) -> Result<(), StoreError> {
+    async fn write_heartbeat(&self) -> Result<(), StoreError> {
         let (txn, incarnation) = {
-            let mut own = self.own();
+            let mut own = self.own_row();
             let key = keys::member(&own.member.host);
             let mut txn = Txn::new();
             match own.revision {
                 Some(_) => txn = txn.with_check(key.clone(), own.revision),
-                // Whatever row is there belongs to an earlier stay, which this write ends.
+                // Any existing row belongs to an earlier incarnation, which this write replaces.
                 None => own.member.incarnation = Incarnation(rand::random()),
             }
             own.member.counter += 1;
@@ -177,33 +177,33 @@
                 .map_err(|error| StoreError::Refused(error.to_string()))?;
             (txn.with_write(key, value), own.member.incarnation)
         };
-        // A conflict needs no answer here: the next read shows what the row has become.
+        // A conflict needs no handling here: the next read shows the row's current state.
         if let Commit::Done(revision) = self.store.commit(txn).await? {
-            let mut own = self.own();
+            let mut own = self.own_row();
             own.revision = own.revision.max(Some(revision));
         }
-        self.view.set_own(incarnation);
+        self.view.set_own_incarnation(incarnation);
         Ok(())
     }
 
-    async fn read_members(&self) {
-        let result = self.take_members().await;
-        self.note(result);
+    async fn follow_members(&self) {
+        let result = self.refresh_members().await;
+        self.record_result(result);
     }
 
-    async fn take_members(&self) -> Result<(), StoreError> {
-        let scan =
-            Scan { prefix: keys::MEMBER_PREFIX.to_owned(), after: None, limit: MEMBER_LIMIT };
-        let begun = BootInstant::now();
+    async fn refresh_members(&self) -> Result<(), StoreError> {
+        let scan = Scan { prefix: keys::MEMBER_PREFIX.to_owned(), after: None, limit: MAX_MEMBERS };
+        let started_at = BootInstant::now();
         let page = self.store.scan(scan).await?;
-        // First that the store is back, if it was away: during an outage no host's row moved, which tells nothing of the host.
-        self.note(Ok(()));
-        // A row that can't be read belongs to another release; its host is not counted.
-        let known = |row: &Row| Some((Member::deserialize(&row.value).ok()?, row.revision));
-        let rows: Vec<(Member, Revision)> = page.rows.iter().filter_map(known).collect();
-        self.find_own(&rows, page.revision);
+        // Record the end of an outage before processing the rows: no heartbeat made progress during it, which is no evidence against
+        // any host.
+        self.record_result(Ok(()));
+        // A row that can't be parsed was written by another release; its host is not counted as a member.
+        let parse = |row: &Row| Some((Member::deserialize(&row.value).ok()?, row.revision));
+        let rows: Vec<(Member, Revision)> = page.rows.iter().filter_map(parse).collect();
+        self.update_own_row(&rows, page.revision);
         let members = rows.into_iter().map(|(member, _)| member).collect();
-        for host in self.view.observe(members, page.revision, begun) {
+        for host in self.view.process_members(members, page.revision, started_at) {
             let key = keys::member(&host);
             let seen = page.rows.iter().find(|row| row.key == key).map(|row| row.revision);
             emit(Event::MemberGone, &host);
@@ -212,30 +212,30 @@
         Ok(())
     }
 
-    /// Learns from the list as it was at `seen` whether this host is on it, and at which revision.
-    fn find_own(&self, rows: &[(Member, Revision)], seen: Revision) {
-        let mut own = self.own();
-        if own.revision.is_some_and(|known| known > seen) {
-            // The read was carried out before this host's newest write.
+    /// Updates the revision of this host's row from the rows read at `read_revision`; `None` if it was removed.
+    fn update_own_row(&self, rows: &[(Member, Revision)], read_revision: Revision) {
+        let mut own = self.own_row();
+        if own.revision.is_some_and(|known| known > read_revision) {
+            // The read is older than this host's latest write.
             return;
         }
-        let mine = rows.iter().find(|(member, _)| member.id() == own.member.id());
-        let found = mine.map(|(_, revision)| *revision);
+        let own_entry = rows.iter().find(|(member, _)| member.id() == own.member.id());
+        let found = own_entry.map(|(_, revision)| *revision);
         if own.revision.is_some() && found.is_none() {
             emit(Event::TakenOff, &own.member.host);
         }
         own.revision = found;
     }
 
-    /// Takes this host off the list, unless a newer stay has written the row since.
+    /// Deletes this host's membership row, unless a newer incarnation has overwritten it.
     async fn leave(&self) {
         let (key, revision) = {
-            let own = self.own();
+            let own = self.own_row();
             (keys::member(&own.member.host), own.revision)
         };
         let txn = Txn::new().with_check(key.clone(), revision).with_delete(key);
         if let Err(error) = self.store.commit(txn).await {
-            debug!("leaving: {error}");
+            debug!("deleting the membership row failed: {error}");
         }
     }
 }
--- a/reachhead_control/src/main.rs
+++ b/reachhead_control/src/main.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration and the entry hosts' membership and feeds both to its host.
+//! Control process of an entry host: follows configuration and membership and feeds both to the entry process.
 
 mod claim_cleaner;
 mod follower;
--- a/reachhead_control/src/member_table.rs
+++ b/reachhead_control/src/member_table.rs
@@ -1,8 +1,8 @@
-//! The list of entry hosts, as the store has it, and who on it seems to be gone.
+//! Membership list of the entry hosts and heartbeat timeouts.
 //!
-//! The list is the set of rows, so all hosts see the same lists in the same order. Nobody is left
-//! out by one host's own judgement: a row that stands still is deleted, by a write that fails if
-//! the row moved after all. docs/LIMITS.md tells what depends on that.
+//! The list is the set of member rows in the store, so all hosts see the same lists in the same order.
+//! No host excludes a member by its own judgement: a row without progress is deleted by a conditional
+//! write, which fails if the row has changed after all. docs/LIMITS.md states what depends on that.
 
 use std::{
     collections::BTreeMap,
@@ -18,94 +18,103 @@
     size::Revision,
 };
 
+/// The last heartbeat seen from a member.
 #[derive(Debug, Clone)]
-struct Watched {
+struct HeartbeatRecord {
     id: MemberId,
     counter: u64,
-    /// When this host last saw the counter move, or the store come back.
-    moved: BootInstant,
+    /// When this host last saw the counter change, or the store come back.
+    last_progress: BootInstant,
 }
 
-/// The rows of the list as this host has seen them move, by its own clock.
+/// Members and their heartbeat progress, timed by this host's clock.
 ///
-/// An outage of the store counts for nobody's silence: after it every row gets the whole term
-/// again, since hosts find out at different moments that the store is back.
+/// A store outage doesn't count against any member: after it every row gets its full timeout again,
+/// since hosts notice at different times that the store is back.
 #[derive(Debug, Clone, Default)]
 pub struct MemberTable {
-    list: Vec<Member>,
+    members: Vec<Member>,
     revision: Revision,
-    watched: BTreeMap<HostId, Watched>,
+    heartbeats: BTreeMap<HostId, HeartbeatRecord>,
 }
 
 impl MemberTable {
-    /// Returns an empty book.
+    /// Returns an empty table.
     pub fn new() -> Self {
-        Self { list: Vec::new(), revision: Revision(0), watched: BTreeMap::new() }
+        Self { members: Vec::new(), revision: Revision(0), heartbeats: BTreeMap::new() }
     }
 
-    /// Notes that the store answers again after an outage.
-    pub fn note_back(&mut self, now: BootInstant) {
-        for seen in self.watched.values_mut() {
-            seen.moved = now;
+    /// Restarts all heartbeat timeouts at `now`, after a store outage.
+    pub fn reset_timeouts(&mut self, now: BootInstant) {
+        for record in self.heartbeats.values_mut() {
+            record.last_progress = now;
         }
     }
 
-    /// Notes the rows of one read of the store, as of `revision`, and tells whether the list is
-    /// another one than before.
-    pub fn observe(&mut self, rows: Vec<Member>, revision: Revision, now: BootInstant) -> bool {
-        let mut watched = BTreeMap::new();
+    /// Applies the rows of one read of the store at `revision`, and returns whether membership changed.
+    pub fn process_rows(
+        &mut self,
+        rows: Vec<Member>,
+        revision: Revision,
+        now: BootInstant,
+    ) -> bool {
+        let mut heartbeats = BTreeMap::new();
         for member in &rows {
             let id = member.id();
-            let moved = match self.watched.get(&member.host) {
-                Some(seen) if seen.id == id && seen.counter == member.counter => seen.moved,
+            let last_progress = match self.heartbeats.get(&member.host) {
+                Some(record) if record.id == id && record.counter == member.counter => {
+                    record.last_progress
+                }
                 _ => now,
             };
-            let seen = Watched { id, counter: member.counter, moved };
-            watched.insert(member.host.clone(), seen);
+            let record = HeartbeatRecord { id, counter: member.counter, last_progress };
+            heartbeats.insert(member.host.clone(), record);
         }
-        self.watched = watched;
+        self.heartbeats = heartbeats;
         self.replace(MemberList { members: rows, revision })
     }
 
-    /// Takes over a peer's list if it is newer, as a host must that can't read the store itself.
+    /// Adopts a peer's list if it is newer, for hosts that can't read the store, and returns whether
+    /// membership changed.
     pub fn adopt(&mut self, list: MemberList) -> bool {
         list.revision > self.revision && self.replace(list)
     }
 
     fn replace(&mut self, list: MemberList) -> bool {
-        let before = self.ids();
-        self.list = list.members;
+        let before = self.member_ids();
+        self.members = list.members;
         self.revision = self.revision.max(list.revision);
-        before != self.ids()
+        before != self.member_ids()
     }
 
     /// Returns the entry hosts on the list.
     pub fn members(&self) -> &[Member] {
-        &self.list
+        &self.members
     }
 
-    /// Returns the hosts whose rows stood still for `term` at `now` and should be deleted.
-    pub fn gone(&self, term: Duration, now: BootInstant) -> Vec<HostId> {
-        let is_gone = |seen: &Watched| now.duration_since(seen.moved) >= term;
-        let gone = self.watched.iter().filter(|(_, seen)| is_gone(seen));
-        gone.map(|(host, _)| host.clone()).collect()
+    /// Returns the hosts without heartbeat progress for `max_silence` at `now`.
+    pub fn expired_hosts(&self, max_silence: Duration, now: BootInstant) -> Vec<HostId> {
+        let is_expired =
+            |record: &HeartbeatRecord| now.duration_since(record.last_progress) >= max_silence;
+        let expired = self.heartbeats.iter().filter(|(_, record)| is_expired(record));
+        expired.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Returns what a peer needs to tell whether its list is another one.
+    /// Returns the stamp by which a peer can tell whether its list differs.
     pub fn stamp(&self) -> ListStamp {
         let mut hasher = DefaultHasher::new();
-        self.ids().hash(&mut hasher);
+        self.member_ids().hash(&mut hasher);
         ListStamp { revision: self.revision, digest: hasher.finish() }
     }
 
-    /// Returns the list for a peer with `stamp`, if it lacks it.
+    /// Returns the list if it is newer than that of a peer with `stamp` and differs from it.
     pub fn newer_than(&self, stamp: ListStamp) -> Option<MemberList> {
         let own = self.stamp();
         let is_newer = own.revision > stamp.revision && own.digest != stamp.digest;
-        is_newer.then(|| MemberList { members: self.list.clone(), revision: self.revision })
+        is_newer.then(|| MemberList { members: self.members.clone(), revision: self.revision })
     }
 
-    fn ids(&self) -> Vec<MemberId> {
-        self.list.iter().map(Member::id).collect()
+    fn member_ids(&self) -> Vec<MemberId> {
+        self.members.iter().map(Member::id).collect()
     }
 }
--- a/reachhead_control/src/metrics.rs
+++ b/reachhead_control/src/metrics.rs
@@ -6,7 +6,7 @@
 
 use crate::view::View;
 
-/// Gauges that are read off the view.
+/// Gauges set from the [`View`].
 #[derive(Debug, Default)]
 pub struct Metrics {
     version: Gauge,
--- a/reachhead_control/src/pool_reconciler.rs
+++ b/reachhead_control/src/pool_reconciler.rs
@@ -1,4 +1,4 @@
-//! Looks after the pools that fall to this host, round by round.
+//! Reconciles the pools owned by this host in periodic rounds.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,25 +19,26 @@
 
 use crate::view::View;
 
-/// How far a round is varied, as a share of it, so that hosts don't work in step.
+/// Random variation of the pause, as a fraction of it, so that hosts don't work in lockstep.
 const JITTER: f64 = 0.1;
 
-/// Rounds for which a host pauses whose pools have nothing on the way: at rest they are most of what
-/// a control sends.
-const QUIET_ROUNDS: u32 = 3;
+/// Pause in rounds while no host of the owned pools is moving: when idle, these rounds are most of a
+/// control process's traffic.
+const IDLE_ROUNDS: u32 = 3;
 
-/// Rounds over the pools of this host.
+/// Runs the pool controller and reports its state to the [`View`].
 pub struct PoolReconciler {
     view: Arc<View>,
     controller: Controller,
+    /// Time between two rounds while hosts are moving.
     round: Duration,
-    /// The version that `loads` belongs to.
-    version: Version,
-    loads: Arc<MinionPlacements>,
+    /// Configuration version that `placements` was computed from.
+    placements_version: Version,
+    placements: Arc<MinionPlacements>,
 }
 
 impl PoolReconciler {
-    /// Returns rounds by `settings`.
+    /// Returns a reconciler with the limits in `settings`.
     pub fn new(
         view: Arc<View>,
         store: Arc<dyn Store>,
@@ -52,10 +53,10 @@
         };
         let controller = Controller::new(store, platform, limits);
         let round = Duration::from_millis(settings.round.get());
-        Self { view, controller, round, version: Version(0), loads: Arc::default() }
+        Self { view, controller, round, placements_version: Version(0), placements: Arc::default() }
     }
 
-    /// Works until `stop` turns true, then hands every pool over.
+    /// Runs rounds until `stop` turns true, then releases the leases of all pools.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
         loop {
             let jitter = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
@@ -63,34 +64,34 @@
                 () = runtime::wait_for_stop(&mut stop) => break,
                 () = time::sleep(self.pause().mul_f64(jitter)) => {}
             }
-            self.work().await;
+            self.reconcile().await;
         }
         self.controller.release_all().await;
     }
 
     fn pause(&self) -> Duration {
         match self.controller.is_idle() {
-            true => self.round * QUIET_ROUNDS,
+            true => self.round * IDLE_ROUNDS,
             false => self.round,
         }
     }
 
-    async fn work(&mut self) {
-        if let Some(fleet) = self.view.fleet_after(self.version) {
-            self.version = fleet.version;
-            self.loads = Arc::new(MinionPlacements::new(&fleet));
+    async fn reconcile(&mut self) {
+        if let Some(fleet) = self.view.fleet_after(self.placements_version) {
+            self.placements_version = fleet.version;
+            self.placements = Arc::new(MinionPlacements::new(&fleet));
         }
-        let input = self.view.input(Arc::clone(&self.loads));
+        let input = self.view.round_input(Arc::clone(&self.placements));
         match self.controller.round(&input).await {
-            Ok(events) => events.iter().for_each(tell),
-            // Nothing planned goes on while the store is away; hosts stay as they are.
-            Err(error) => debug!("looking after pools: {error}"),
+            Ok(events) => events.iter().for_each(log_event),
+            // While the store is unavailable no planned step goes on and hosts keep their state.
+            Err(error) => debug!("reconciling pools failed: {error}"),
         }
-        self.view.note_pools(self.controller.state());
+        self.view.set_pools(self.controller.state());
     }
 }
 
-fn tell(event: &PoolEvent) {
+fn log_event(event: &PoolEvent) {
     match event {
         PoolEvent::LeaseTaken(pool, epoch) => {
             emit(Event::LeaseTaken, format_args!("{pool}, epoch {epoch}"));
--- a/reachhead_control/src/process.rs
+++ b/reachhead_control/src/process.rs
@@ -1,9 +1,9 @@
-//! The process: one thread for each duty around one view.
+//! Start-up and shutdown of the process: a few threads around one shared view.
 //!
-//! - the main thread: reads the store, writes this host's row, cleans up old claims, looks after pools.
-//! - `gossip`: asks peers.
-//! - `link`: answers this host's entry process and peers.
-//! - `ops`: answers operators.
+//! - the main thread: polls the store, writes this host's heartbeat, cleans up old claims, reconciles pools.
+//! - `gossip`: exchanges state with peers.
+//! - `link`: answers this host's entry process, peers and operators' tools.
+//! - `ops`: serves health, metrics and state to operators.
 
 use std::{io, sync::Arc, thread, time::Duration};
 
@@ -28,22 +28,23 @@
     pool_reconciler::PoolReconciler, responder::ControlResponder, timeouts::Timeouts, view::View,
 };
 
-struct ControlObserved {
+struct ControlStatus {
     view: Arc<View>,
     metrics: Metrics,
 }
 
-impl ProcessStatus for ControlObserved {
+impl ProcessStatus for ControlStatus {
     fn unready_reason(&self) -> Option<String> {
         if self.view.version().0 == 0 {
             return Some("no configuration yet".to_owned());
         }
-        let is_old = self.view.list_age().is_none_or(|age| age > self.view.notice());
-        is_old.then(|| "cut off from the store and from all peers".to_owned())
+        let is_expired =
+            self.view.list_age().is_none_or(|age| age > self.view.propagation_timeout());
+        is_expired.then(|| "partitioned from the store and from all peers".to_owned())
     }
 
     fn state(&self) -> BoxFuture<'_, Value> {
-        async move { serde_json::to_value(self.view.report()).unwrap_or_default() }.boxed()
+        async move { serde_json::to_value(self.view.to_state()).unwrap_or_default() }.boxed()
     }
 
     fn refresh_metrics(&self) {
@@ -51,15 +52,15 @@
     }
 }
 
-/// Runs the control process until a shutdown is asked for.
+/// Runs the control process until a shutdown signal.
 pub fn run(settings: ControlSettings) -> Result<(), LinkError> {
     let follow = settings.follow.clone();
     let view = View::new(settings.host.clone(), Timeouts::new(&settings));
 
     let mut registry = Registry::default();
     let metrics = Metrics::new(&mut registry);
-    let observed = ControlObserved { view: Arc::clone(&view), metrics };
-    listener::start(settings.ops.address, Arc::new(observed), registry)?;
+    let status = ControlStatus { view: Arc::clone(&view), metrics };
+    listener::start(settings.ops.address, Arc::new(status), registry)?;
     server::serve(settings.link.address, ControlResponder::new(Arc::clone(&view)))?;
 
     let period = Duration::from_millis(settings.link.gossip.get());
@@ -69,7 +70,7 @@
     let connect = || HttpStore::new(settings.store.address, settings.store.deadline.duration());
     let hosts: Arc<dyn HostLister> = Arc::new(connect());
     let store: Arc<dyn Store> = Arc::new(GuardedStore::new(connect(), settings.store.rate.get()));
-    let own = Member {
+    let member = Member {
         host: settings.host.clone(),
         zone: settings.zone,
         incarnation: Incarnation(rand::random()),
@@ -79,29 +80,29 @@
     };
     let cleaner = ClaimCleaner::new(Arc::clone(&store), &settings.clean);
     let platform: Arc<dyn Platform> = Arc::new(connect());
-    let pools =
+    let reconciler =
         PoolReconciler::new(Arc::clone(&view), Arc::clone(&store), platform, &settings.pools);
-    let follower = Follower::new(view, store, hosts, follow, own);
+    let follower = Follower::new(view, store, hosts, follow, member);
     emit(Event::Started, format_args!("control of {}", settings.host));
-    run_on_store(follower, cleaner, pools)?;
+    run_on_store(follower, cleaner, reconciler)?;
     Ok(())
 }
 
-/// Works on the store on this thread until a shutdown is asked for.
+/// Runs the tasks that use the store on this thread until a shutdown signal.
 fn run_on_store(
     follower: Follower,
     cleaner: ClaimCleaner,
-    pools: PoolReconciler,
+    reconciler: PoolReconciler,
 ) -> io::Result<()> {
     runtime::current_thread()?.block_on(async move {
         let (stop, stopped) = watch::channel(false);
         let following = tokio::spawn(follower.run(stopped.clone()));
         tokio::spawn(cleaner.run(stopped.clone()));
-        let looking_after = tokio::spawn(pools.run(stopped));
+        let reconciling = tokio::spawn(reconciler.run(stopped));
         runtime::shutdown_signal().await?;
-        emit(Event::ShutdownBegun, "leaving the list of entry hosts");
+        emit(Event::ShutdownBegun, "control: leaving the membership list");
         stop.send_replace(true);
-        looking_after.await.map_err(io::Error::other)?;
+        reconciling.await.map_err(io::Error::other)?;
         following.await.map_err(io::Error::other)?;
         emit(Event::ShutdownDone, "control");
         Ok(())
--- a/reachhead_control/src/responder.rs
+++ b/reachhead_control/src/responder.rs
@@ -1,4 +1,4 @@
-//! Answers the entry process of this host, peers, and operators' tools.
+//! Answers link requests from this host's entry process, from peers and from operators' tools.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
 
 use crate::view::View;
 
-/// Answers questions from this host's view.
+/// Answers link requests from this host's [`View`].
 pub struct ControlResponder {
     view: Arc<View>,
 }
@@ -24,19 +24,19 @@
         Self { view }
     }
 
-    fn follow(&self, have: Version, hosts: Revision) -> ControlReply {
-        self.view.note_entry(have);
+    fn answer_follow(&self, have: Version, hosts: Revision) -> ControlReply {
+        self.view.set_entry_version(have);
         ControlReply::Follow(Box::new(FollowReply {
-            delta: self.view.since(have),
+            delta: self.view.delta_since(have),
             leaving: self.view.leaving_since(hosts),
             members: self.view.members(),
             own: self.view.own_member(),
-            notice: millis(self.view.notice()),
-            age: self.view.list_age().map(millis),
+            notice: round_up_millis(self.view.propagation_timeout()),
+            age: self.view.list_age().map(round_up_millis),
         }))
     }
 
-    fn gossip(
+    fn answer_gossip(
         &self,
         have: Version,
         delta: Option<&Delta>,
@@ -44,19 +44,19 @@
         hosts: Revision,
     ) -> ControlReply {
         if let Some(delta) = delta {
-            // A gap is filled by this host's own rounds, which fetch the whole of it.
-            let _ = self.view.apply(delta);
+            // On a gap this host's own gossip and store reads fetch the missing versions.
+            let _ = self.view.apply_delta(delta);
         }
         ControlReply::Gossip(Box::new(GossipReply {
-            delta: self.view.since(have),
+            delta: self.view.delta_since(have),
             list: self.view.members_since(list),
             leaving: self.view.leaving_since(hosts),
-            is_blind: self.view.is_blind(),
-            age: self.view.list_age().map(millis),
+            is_blind: self.view.is_store_lost(),
+            age: self.view.list_age().map(round_up_millis),
         }))
     }
 
-    fn status(&self) -> ControlReply {
+    fn answer_status(&self) -> ControlReply {
         ControlReply::Status(StatusReply {
             host: self.view.host().clone(),
             version: self.view.version(),
@@ -68,16 +68,16 @@
 impl Responder<ControlRequest, ControlReply> for ControlResponder {
     fn respond(&mut self, request: ControlRequest) -> ControlReply {
         match request {
-            ControlRequest::Follow { have, hosts } => self.follow(have, hosts),
+            ControlRequest::Follow { have, hosts } => self.answer_follow(have, hosts),
             ControlRequest::Gossip { have, delta, list, hosts } => {
-                self.gossip(have, delta.as_ref(), list, hosts)
+                self.answer_gossip(have, delta.as_ref(), list, hosts)
             }
-            ControlRequest::Status => self.status(),
+            ControlRequest::Status => self.answer_status(),
         }
     }
 }
 
-/// Ages are rounded up, so that nothing looks newer than it is.
-fn millis(duration: Duration) -> Millis {
+/// Converts `duration` to milliseconds, rounded up so that nothing looks newer than it is.
+fn round_up_millis(duration: Duration) -> Millis {
     Millis(duration.as_millis() as u64 + 1)
 }
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -1,4 +1,4 @@
-//! What this host knows: configuration, members, and when it last heard of the others.
+//! This host's view of the fleet: configuration, membership, and how old both are.
 
 use std::{
     sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError},
@@ -25,20 +25,21 @@
 
 use crate::{member_table::MemberTable, timeouts::Timeouts};
 
-/// What the threads of this process share.
+/// State shared by the threads of this process.
 pub struct View {
     state: Mutex<State>,
-    /// Signalled when a new version is in force, so that gossip does not wait for its round.
-    news: Condvar,
+    /// Signalled when a new version is in force or the store is lost or back, so that gossip starts a
+    /// round at once.
+    changed: Condvar,
     host: HostId,
     timeouts: Timeouts,
 }
 
-/// What a peer says of its list.
-pub struct Witness {
-    /// Whether the store did not answer its last call.
-    pub is_blind: bool,
-    /// How old its list is at most.
+/// What a peer reports about its membership list.
+pub struct PeerList {
+    /// Whether the peer's last call to the store failed.
+    pub is_store_lost: bool,
+    /// Upper bound of the age of its list; `None` if the list was never confirmed.
     pub age: Option<Duration>,
 }
 
@@ -46,21 +47,21 @@
     snapshot: ConfigSnapshot,
     members: MemberTable,
     leaving: LeavingHosts,
-    /// This host's stay on the list, once it has written its row.
-    own: Option<Incarnation>,
+    /// This host's incarnation, once it has written its membership row.
+    own_incarnation: Option<Incarnation>,
     entry_version: Version,
-    /// When the store last answered.
-    store_heard: Option<BootInstant>,
-    /// The newest moment at which the list of entry hosts was still the newest one.
-    confirmed: Option<BootInstant>,
+    /// When the store last answered a call of this host.
+    last_store_contact: Option<BootInstant>,
+    /// Latest instant at which the membership list is known to have been current.
+    list_confirmed_at: Option<BootInstant>,
     store_lost: bool,
-    /// The version that gossip has handed on last.
-    told: Version,
-    /// The pools that this host is in charge of.
+    /// The configuration version last sent by gossip.
+    gossiped_version: Version,
+    /// Pools owned by this host.
     pools: Vec<PoolState>,
 }
 
-/// The view as `/state` shows it.
+/// The view as serialized for `/state`.
 #[derive(Debug, Serialize)]
 pub struct ViewState {
     host: HostId,
@@ -74,34 +75,34 @@
     pools: Vec<PoolState>,
 }
 
-/// What a gossip round starts from.
-pub struct Round {
-    /// The version here.
+/// Input of a gossip round.
+pub struct GossipRound {
+    /// This host's configuration version.
     pub have: Version,
-    /// What peers may not know yet.
+    /// Changes since the last round's version; `None` if there are none.
     pub delta: Option<Delta>,
-    /// The list of entry hosts here.
+    /// Stamp of this host's membership list.
     pub list: ListStamp,
-    /// Other hosts.
+    /// The other members.
     pub peers: Vec<Member>,
 }
 
 impl View {
-    /// Returns an empty view of `host`.
+    /// Returns the empty view of a host that has just started.
     pub fn new(host: HostId, timeouts: Timeouts) -> Arc<Self> {
         let state = State {
             snapshot: ConfigSnapshot::new(),
             members: MemberTable::new(),
             leaving: LeavingHosts::default(),
-            own: None,
+            own_incarnation: None,
             entry_version: Version(0),
-            store_heard: None,
-            confirmed: None,
+            last_store_contact: None,
+            list_confirmed_at: None,
             store_lost: false,
-            told: Version(0),
+            gossiped_version: Version(0),
             pools: Vec::new(),
         };
-        Arc::new(Self { state: Mutex::new(state), news: Condvar::new(), host, timeouts })
+        Arc::new(Self { state: Mutex::new(state), changed: Condvar::new(), host, timeouts })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -118,12 +119,12 @@
         self.state().snapshot.version()
     }
 
-    /// Takes `snapshot` if it is newer.
-    pub fn adopt(&self, snapshot: ConfigSnapshot) {
+    /// Replaces the configuration by `snapshot` if that is newer.
+    pub fn adopt_snapshot(&self, snapshot: ConfigSnapshot) {
         let mut state = self.state();
         if snapshot.version() > state.snapshot.version() {
             state.snapshot = snapshot;
-            self.announce(&state);
+            self.announce_version(&state);
         }
     }
 
@@ -131,135 +132,140 @@
     ///
     /// # Errors
     ///
-    /// Fails if versions between are missing.
-    pub fn apply(&self, delta: &Delta) -> Result<(), GapError> {
+    /// Fails if there are versions missing in between.
+    pub fn apply_delta(&self, delta: &Delta) -> Result<(), GapError> {
         let mut state = self.state();
         if state.snapshot.apply(delta)? {
-            self.announce(&state);
+            self.announce_version(&state);
         }
         Ok(())
     }
 
-    fn announce(&self, state: &State) {
+    fn announce_version(&self, state: &State) {
         emit(Event::ConfigInForce, format_args!("version {}", state.snapshot.version()));
-        self.news.notify_all();
+        self.changed.notify_all();
     }
 
-    /// Returns what changed after `have`, or `None` if nothing did.
-    pub fn since(&self, have: Version) -> Option<Delta> {
+    /// Returns the configuration changes after `have`, or `None` if there are none.
+    pub fn delta_since(&self, have: Version) -> Option<Delta> {
         let state = self.state();
         (state.snapshot.version() > have).then(|| state.snapshot.since(have))
     }
 
-    /// Notes whether the store answered.
-    pub fn note_store(&self, answered: bool) {
+    /// Records whether a call to the store was answered.
+    pub fn record_store_result(&self, answered: bool) {
         let mut state = self.state();
         if answered {
-            state.store_heard = Some(BootInstant::now());
+            state.last_store_contact = Some(BootInstant::now());
         }
         if state.store_lost == answered {
             state.store_lost = !answered;
             let event = if answered { Event::StoreBack } else { Event::StoreLost };
             emit(event, "the platform's table service");
             if answered {
-                state.members.note_back(BootInstant::now());
+                state.members.reset_timeouts(BootInstant::now());
             }
-            // Peers are asked at once, before this host's list counts as old.
-            self.news.notify_all();
+            // Wakes gossip: peers are queried at once, before this host's list expires.
+            self.changed.notify_all();
         }
     }
 
-    /// Notes the version that the entry process of this host has.
-    pub fn note_entry(&self, have: Version) {
-        self.state().entry_version = have;
+    /// Records the configuration version of this host's entry process.
+    pub fn set_entry_version(&self, version: Version) {
+        self.state().entry_version = version;
     }
 
-    /// Returns the version that the entry process of this host has.
+    /// Returns the configuration version of this host's entry process.
     pub fn entry_version(&self) -> Version {
         self.state().entry_version
     }
 
-    /// Notes this host's stay on the list.
-    pub fn set_own(&self, own: Incarnation) {
-        self.state().own = Some(own);
+    /// Records this host's incarnation.
+    pub fn set_own_incarnation(&self, incarnation: Incarnation) {
+        self.state().own_incarnation = Some(incarnation);
     }
 
-    /// Returns this host's place on the list.
+    /// Returns this host's member id, or `None` while it is not on the membership list.
     pub fn own_member(&self) -> Option<MemberId> {
         let state = self.state();
-        let own = MemberId { host: self.host.clone(), incarnation: state.own? };
+        let own = MemberId { host: self.host.clone(), incarnation: state.own_incarnation? };
         state.members.members().iter().any(|member| member.id() == own).then_some(own)
     }
 
-    /// Notes the member rows of one read, begun at `begun`, and returns the hosts whose rows should
-    /// be deleted.
-    pub fn observe(
+    /// Applies the member rows of a read that started at `started_at`, and returns the hosts whose
+    /// heartbeat has timed out.
+    pub fn process_members(
         &self,
         rows: Vec<Member>,
         revision: Revision,
-        begun: BootInstant,
+        started_at: BootInstant,
     ) -> Vec<HostId> {
         let mut state = self.state();
-        state.confirmed = state.confirmed.max(Some(begun));
+        state.list_confirmed_at = state.list_confirmed_at.max(Some(started_at));
         let now = BootInstant::now();
-        if state.members.observe(rows, revision, now) {
-            tell_members(&state);
+        if state.members.process_rows(rows, revision, now) {
+            log_members(&state);
         }
-        let term = self.timeouts.silence(state.members.members().len());
-        state.members.gone(term, now)
+        let max_silence = self.timeouts.member_timeout(state.members.members().len());
+        state.members.expired_hosts(max_silence, now)
     }
 
-    /// Learns from a peer's answer to a question that was asked at `asked`.
+    /// Merges the membership list from a peer's reply to a request sent at `requested_at`.
     ///
-    /// A peer that reads the store vouches for the list as of its own last read. Where neither can,
-    /// the store is taken for down, and a store that is down changes no list.
-    pub fn learn_list(&self, list: Option<MemberList>, peer: Witness, asked: BootInstant) {
+    /// A peer that reads the store confirms the list as of its own last read. If neither host can
+    /// read it, the store is assumed down, and the list can't change while it is.
+    pub fn merge_peer_list(
+        &self,
+        list: Option<MemberList>,
+        peer: PeerList,
+        requested_at: BootInstant,
+    ) {
         let mut state = self.state();
         if list.is_some_and(|list| state.members.adopt(list)) {
-            tell_members(&state);
+            log_members(&state);
         }
-        let is_blind = state.store_lost;
-        let confirmed = match (peer.is_blind, is_blind) {
-            (true, true) => Some(asked),
+        let is_store_lost = state.store_lost;
+        let confirmed = match (peer.is_store_lost, is_store_lost) {
+            (true, true) => Some(requested_at),
             (true, false) => None,
-            (false, _) => peer.age.map(|age| asked - age),
+            (false, _) => peer.age.map(|age| requested_at - age),
         };
-        state.confirmed = state.confirmed.max(confirmed);
+        state.list_confirmed_at = state.list_confirmed_at.max(confirmed);
     }
 
-    /// Returns the list for a peer with `stamp`, if it lacks it.
+    /// Returns the list if it is newer than that of a peer with `stamp` and differs from it.
     pub fn members_since(&self, stamp: ListStamp) -> Option<MemberList> {
         self.state().members.newer_than(stamp)
     }
 
-    /// Returns the entry hosts on the list.
+    /// Returns the members.
     pub fn members(&self) -> Vec<Member> {
         self.state().members.members().to_vec()
     }
 
-    /// Returns how old the list is at most; `None` if it was never confirmed.
+    /// Returns an upper bound of the membership list's age; `None` if it was never confirmed.
     pub fn list_age(&self) -> Option<Duration> {
         let state = self.state();
         let list = state.members.members();
-        let is_sole = !list.is_empty() && list.iter().all(|member| member.host == self.host);
-        if is_sole && state.store_lost {
-            // Nobody is there who could change the list.
+        let is_only_member = !list.is_empty() && list.iter().all(|member| member.host == self.host);
+        if is_only_member && state.store_lost {
+            // No other member could have changed the list.
             return Some(Duration::ZERO);
         }
-        state.confirmed.map(|at| at.elapsed())
+        state.list_confirmed_at.map(|at| at.elapsed())
     }
 
-    /// Tells whether the store did not answer the last call.
-    pub fn is_blind(&self) -> bool {
+    /// Returns whether the last call to the store failed.
+    pub fn is_store_lost(&self) -> bool {
         self.state().store_lost
     }
 
-    /// Returns the longest time in which every entry host notices a new list.
-    pub fn notice(&self) -> Duration {
-        self.timeouts.notice(self.state().members.members().len())
+    /// Returns the time within which every entry host has read a new list or stopped serving.
+    pub fn propagation_timeout(&self) -> Duration {
+        self.timeouts.propagation_timeout(self.state().members.members().len())
     }
 
-    /// Takes over a newer list of leaving hosts.
+    /// Replaces the list of leaving hosts if `leaving` is newer.
     pub fn adopt_leaving(&self, leaving: LeavingHosts) {
         let mut state = self.state();
         if state.leaving.adopt(leaving) {
@@ -269,46 +275,49 @@
         }
     }
 
-    /// Returns the leaving hosts of a list newer than `revision`.
+    /// Returns the list of leaving hosts if it is newer than `revision`.
     pub fn leaving_since(&self, revision: Revision) -> Option<LeavingHosts> {
         self.state().leaving.newer_than(revision)
     }
 
-    /// Returns the revision of the newest host list.
+    /// Returns the revision of the newest known platform host list.
     pub fn hosts_revision(&self) -> Revision {
         self.state().leaving.revision
     }
 
-    /// Waits for the next round of gossip: after `period`, or at once when there is news.
-    pub fn next_round(&self, period: Duration) -> Round {
+    /// Waits for the next gossip round: after `period`, or at once when there is a new version or the
+    /// store was lost or came back.
+    pub fn wait_for_round(&self, period: Duration) -> GossipRound {
         let state = self.state();
-        let was_lost = state.store_lost;
-        let is_quiet = |state: &mut State| {
-            state.snapshot.version() <= state.told && state.store_lost == was_lost
+        let was_store_lost = state.store_lost;
+        let is_unchanged = |state: &mut State| {
+            state.snapshot.version() <= state.gossiped_version && state.store_lost == was_store_lost
         };
         let (mut state, _) = self
-            .news
-            .wait_timeout_while(state, period, is_quiet)
+            .changed
+            .wait_timeout_while(state, period, is_unchanged)
             .unwrap_or_else(PoisonError::into_inner);
         let have = state.snapshot.version();
-        let delta = (have > state.told).then(|| state.snapshot.since(state.told));
-        state.told = have;
+        let delta =
+            (have > state.gossiped_version).then(|| state.snapshot.since(state.gossiped_version));
+        state.gossiped_version = have;
         let mut peers = state.members.members().to_vec();
         peers.retain(|member| member.host != self.host);
-        Round { have, delta, list: state.members.stamp(), peers }
+        GossipRound { have, delta, list: state.members.stamp(), peers }
     }
 
-    /// Returns what looking after pools starts from; `placements` belong to the newest version that the
-    /// caller has.
-    pub fn input(&self, placements: Arc<MinionPlacements>) -> RoundInput {
+    /// Returns the input of a pool reconciliation round; `placements` are those of the newest version
+    /// that the caller has.
+    pub fn round_input(&self, placements: Arc<MinionPlacements>) -> RoundInput {
         let own = self.own_member();
         let state = self.state();
         let list = state.members.members();
-        let silent =
-            state.members.gone(self.timeouts.lease_silence(list.len()), BootInstant::now());
+        let expired = state
+            .members
+            .expired_hosts(self.timeouts.lease_timeout(list.len()), BootInstant::now());
         let candidate = |member: &Member| Candidate {
             id: member.id(),
-            is_silent: silent.contains(&member.host),
+            is_silent: expired.contains(&member.host),
         };
         let pools = state.snapshot.rows().filter_map(|(key, _)| match key {
             RowKey::Pool(name) => Some(name.clone()),
@@ -323,9 +332,9 @@
         }
     }
 
-    /// Returns the fleet, if it is of a newer version than `have`.
+    /// Returns the fleet if its version is newer than `have` and its rows are valid.
     pub fn fleet_after(&self, have: Version) -> Option<Fleet> {
-        // Reading all rows takes a while, so nobody is kept waiting for it.
+        // Parsing all rows takes a while, so it is done on a copy without the lock.
         let snapshot = {
             let state = self.state();
             (state.snapshot.version() > have).then(|| state.snapshot.clone())
@@ -333,21 +342,22 @@
         Fleet::from_rows(snapshot.version(), snapshot.rows()).ok()
     }
 
-    /// Notes the pools that this host is in charge of.
-    pub fn note_pools(&self, pools: Vec<PoolState>) {
+    /// Records the pools owned by this host.
+    pub fn set_pools(&self, pools: Vec<PoolState>) {
         self.state().pools = pools;
     }
 
-    /// Returns how many pools this host is in charge of.
+    /// Returns the number of pools owned by this host.
     pub fn pool_count(&self) -> usize {
         self.state().pools.len()
     }
 
-    /// Returns the view for operators.
-    pub fn report(&self) -> ViewState {
+    /// Returns the view as shown to operators.
+    pub fn to_state(&self) -> ViewState {
         let state = self.state();
-        let ago =
-            |heard: Option<BootInstant>| heard.map(|at| Millis(at.elapsed().as_millis() as u64));
+        let age = |instant: Option<BootInstant>| {
+            instant.map(|at| Millis(at.elapsed().as_millis() as u64))
+        };
         ViewState {
             host: self.host.clone(),
             version: state.snapshot.version(),
@@ -355,14 +365,14 @@
             members: state.members.members().to_vec(),
             leaving: state.leaving.clone(),
             rows: state.snapshot.rows().count(),
-            store_heard: ago(state.store_heard),
-            list_age: ago(state.confirmed),
+            store_heard: age(state.last_store_contact),
+            list_age: age(state.list_confirmed_at),
             pools: state.pools.clone(),
         }
     }
 }
 
-fn tell_members(state: &State) {
+fn log_members(state: &State) {
     let names: Vec<&str> =
         state.members.members().iter().map(|member| member.host.as_str()).collect();
     emit(Event::MembersChanged, names.join(" "));
