--- a/reachhead_ops/src/cli.rs
+++ b/reachhead_ops/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command lines and exit codes, alike in all programs.
+//! Command line parsing and exit codes shared by all programs.
 
 use std::{env, fmt::Display, path::PathBuf, process::ExitCode};
 
@@ -7,20 +7,20 @@
 use miette::{Diagnostic, GraphicalReportHandler};
 use reachhead_config::Section;
 
-/// Exit code of a program that failed while it ran.
+/// Exit code for a failure at run time.
 pub const EXIT_RUNTIME: u8 = 1;
 
-/// Exit code of a command line that can't be understood.
+/// Exit code for an invalid command line.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Exit code of settings with faults; nothing was started.
+/// Exit code for invalid settings; nothing was started.
 pub const EXIT_SETTINGS: u8 = 3;
 
-/// Parses the command line of `program`, or prints what was asked for and returns the exit code.
+/// Parses the command line of `program`. Prints the version, the help or an error otherwise.
 ///
 /// # Errors
 ///
-/// The exit code to end with: 0 after `--help` and `--version`, [`EXIT_USAGE`] for a bad line.
+/// Returns the exit code: 0 after `--help` and `--version`, [`EXIT_USAGE`] for an invalid command line.
 pub fn parse_args<T: FromArgs>(program: &str) -> Result<T, ExitCode> {
     let args: Vec<String> = env::args().skip(1).collect();
     if args.first().is_some_and(|arg| arg == "--version" || arg == "-V") {
@@ -40,16 +40,16 @@
     })
 }
 
-/// One of the system's processes; it runs until SIGTERM. `/state` of its ops listener tells the rest.
+/// Long-running process of the system; it runs until SIGTERM. Its ops listener serves `/state`.
 #[derive(FromArgs)]
 struct DaemonArgs {
-    /// settings file, JSON with comments; "reachhead check" tells whether it has faults
+    /// settings file, JSON with comments; "reachhead check" validates it
     #[argh(option)]
     settings: PathBuf,
 }
 
-/// The main function of a long-lived process: reads the command line and the settings of
-/// `reachhead-PROGRAM`, starts the logger, and calls `run`.
+/// Runs a long-lived process: reads the command line and the settings of `reachhead-PROGRAM`, starts
+/// the logger and calls `run`.
 pub fn run_daemon<S: Section, E: Display>(
     program: &str,
     run: impl FnOnce(S) -> Result<(), E>,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Prints `report` with its places and returns `code` to end with.
+/// Prints `report` with its source snippets to standard error and returns `code` as the exit code.
 pub fn report_failure(report: &dyn Diagnostic, code: u8) -> ExitCode {
     let mut text = String::new();
     match GraphicalReportHandler::new().render_report(&mut text, report) {
@@ -83,7 +83,7 @@
     ExitCode::from(code)
 }
 
-/// Starts the logger: info and up, unless `RUST_LOG` says otherwise.
+/// Starts the logger at level info, unless `RUST_LOG` sets another.
 pub fn init_logger() {
     env_logger::Builder::new().filter_level(LevelFilter::Info).parse_default_env().init();
 }
--- a/reachhead_ops/src/client.rs
+++ b/reachhead_ops/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP with a deadline each, on connections that are kept and dropped by peer.
+//! HTTP client with a deadline per call and a pool of idle connections per peer.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -18,56 +18,56 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, sync::Semaphore, time};
 
-/// Idle connections that are kept to one peer; more are closed after use.
-const IDLE_LIMIT: usize = 3;
+/// Maximum number of idle connections per peer; further ones are closed after use.
+const MAX_IDLE_PER_PEER: usize = 3;
 
-/// Peers to which connections of short calls are kept idle; those to the peer that was called longest ago are closed first. A
-/// process with thousands of peers would run out of descriptors and memory after a burst.
-const SHORT_PEERS: usize = 512;
+/// Maximum number of peers with idle connections of short calls; those of the least recently called peer are closed first.
+/// Without it a process with thousands of peers would run out of file descriptors and memory after a burst.
+const MAX_IDLE_SHORT_PEERS: usize = 512;
 
-/// How late a timer has to fire for this process to count as late itself; timers of an idle one fire within a few.
-const LATENESS_LEAST: Duration = Duration::from_millis(20);
+/// Delay of a timer from which this process counts as late itself; in an idle process timers fire within a few milliseconds.
+const MIN_LATENESS: Duration = Duration::from_millis(20);
 
-/// The longest that lateness prolongs the wait for an answer. Leases of workers outlast it.
-const LATENESS_MOST: Duration = Duration::from_millis(2000);
+/// Maximum extension of a deadline because of this process's own lateness; worker leases last longer than that.
+const MAX_LATENESS: Duration = Duration::from_millis(2000);
 
-/// Short calls to one peer that are under way at once; more wait, since a new connection costs more than the
-/// moment until one is free. Two, so that one call without an answer does not hold all others up; more cost an owner
-/// of many workers descriptors in a burst.
-const SHORT_LIMIT: usize = 2;
+/// Maximum number of concurrent short calls per peer; further ones wait, since a new connection costs more than waiting for a
+/// free one. Two, so that a single unanswered call does not block all others; more would cost an owner of many workers too
+/// many file descriptors in a burst.
+const MAX_SHORT_CALLS: usize = 2;
 
-/// Peers with short calls that are remembered before those without any under way are dropped.
-const PEERS_KEPT: usize = 512;
+/// Number of peers with a semaphore for short calls above which those without calls in flight are dropped.
+const MAX_SHORT_PEERS: usize = 512;
 
-/// Why a call gave no answer.
+/// Why a call returned no response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// Nothing of the call was sent.
+    /// No byte of the request was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// Nothing of the call was sent: the peer's host answers that nobody listens at the address.
-    #[error("nobody listens there: {0}")]
+    /// No byte of the request was sent: the connection was refused, so the peer's host is up but nothing listens on the port.
+    #[error("nothing listens on the port: {0}")]
     PortClosed(String),
-    /// The call was sent, and there is no whole answer.
+    /// The request may have been sent, and there is no complete response.
     #[error("{0}")]
     Lost(String),
-    /// The call was sent, and its connection ended without a whole answer: it was carried out before that or never.
-    #[error("the connection broke: {0}")]
+    /// The request was sent, and the connection ended without a complete response: it was carried out before that or never will be.
+    #[error("connection broken: {0}")]
     Broken(String),
 }
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// A client that keeps connections open.
+/// An HTTP client that reuses connections.
 ///
-/// A connection on which a call timed out is closed, and with it the idle ones to the same peer:
-/// connections can fall silent for good without a reset, and only a new one shows whether the peer
-/// lives.
+/// After a timeout the call's connection and all idle ones to the same peer are closed: a connection can
+/// stop delivering without a reset, and only a new one shows whether the peer is alive.
 #[derive(Default)]
 pub struct HttpClient {
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
-    short: Mutex<HashMap<SocketAddr, Arc<Semaphore>>>,
-    /// Peers to which connections of short calls are idle, the one used longest ago first.
+    /// Limits of the short calls in flight, by peer.
+    short_calls: Mutex<HashMap<SocketAddr, Arc<Semaphore>>>,
+    /// Peers with idle connections of short calls, the least recently used first.
     short_idle: Mutex<VecDeque<SocketAddr>>,
 }
 
@@ -77,11 +77,11 @@
         Self::default()
     }
 
-    /// Sends a request and returns its whole answer.
+    /// Sends a request and returns the buffered response.
     ///
     /// # Errors
     ///
-    /// Any [`CallError`]; `Lost` or `Broken` unless no byte of the request was written.
+    /// Any [`CallError`]; `Lost` or `Broken` if any byte of the request may have been written.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -91,33 +91,33 @@
         let end = time::Instant::now() + deadline;
         let mut request = request;
         loop {
-            let (mut connection, kept) = match self.take(address) {
+            let (mut connection, is_reused) = match self.take(address) {
                 Some(connection) => (connection, true),
                 None => (connect(address, end).await?, false),
             };
-            match in_time(end, exchange(&mut connection, request)).await {
-                Some(Ok(answer)) => {
-                    self.keep(address, connection);
-                    return Ok(answer);
+            match within_deadline(end, exchange(&mut connection, request)).await {
+                Some(Ok(response)) => {
+                    self.put_idle(address, connection);
+                    return Ok(response);
                 }
-                Some(Err(Failure::Unsent(back))) if kept => request = *back,
+                Some(Err(Failure::Unsent(unsent))) if is_reused => request = *unsent,
                 Some(Err(Failure::Unsent(_))) => {
                     return Err(CallError::NotSent("the peer closed the connection".to_owned()));
                 }
                 Some(Err(Failure::Broken(error))) => return Err(CallError::Broken(error)),
                 None => {
                     self.close_idle(address);
-                    return Err(CallError::Lost("no answer before the deadline".to_owned()));
+                    return Err(CallError::Lost("no response before the deadline".to_owned()));
                 }
             }
         }
     }
 
-    /// Sends a request that is answered at once, as [`HttpClient::call`], beside few others to the same peer.
+    /// Sends a request that the peer answers at once, with a limit on concurrent short calls to that peer.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::call`]; the wait for the others counts against the deadline.
+    /// As [`HttpClient::call`]; the wait for earlier calls counts against the deadline.
     pub async fn call_short(
         &self,
         address: SocketAddr,
@@ -125,39 +125,42 @@
         deadline: Duration,
     ) -> Result<Response<Bytes>, CallError> {
         let end = time::Instant::now() + deadline;
-        let lane = self.lane(address);
-        let Ok(Ok(_permit)) = time::timeout_at(end, lane.acquire()).await else {
-            return Err(CallError::NotSent("earlier calls to the peer have no answer".to_owned()));
+        let semaphore = self.semaphore(address);
+        let Ok(Ok(_permit)) = time::timeout_at(end, semaphore.acquire()).await else {
+            return Err(CallError::NotSent(
+                "earlier calls to the peer are still unanswered".to_owned(),
+            ));
         };
-        let left = end.saturating_duration_since(time::Instant::now());
-        let answer = self.call(address, request, left).await;
-        if answer.is_ok() {
-            self.bound_short(address);
+        let remaining = end.saturating_duration_since(time::Instant::now());
+        let response = self.call(address, request, remaining).await;
+        if response.is_ok() {
+            self.record_short_idle(address);
         }
-        answer
+        response
     }
 
-    /// Notes that a connection of a short call is idle, and closes another if there are too many.
-    fn bound_short(&self, address: SocketAddr) {
+    /// Records an idle connection of a short call, and closes those of the least recently used peer beyond the limit.
+    fn record_short_idle(&self, address: SocketAddr) {
         let oldest = {
             let mut idle = self.short_idle.lock().unwrap_or_else(PoisonError::into_inner);
             idle.retain(|other| *other != address);
             idle.push_back(address);
-            if idle.len() > SHORT_PEERS { idle.pop_front() } else { None }
+            if idle.len() > MAX_IDLE_SHORT_PEERS { idle.pop_front() } else { None }
         };
         if let Some(oldest) = oldest {
             self.close_idle(oldest);
         }
     }
 
-    /// Returns what short calls to a peer wait for.
-    fn lane(&self, address: SocketAddr) -> Arc<Semaphore> {
-        let mut short = self.short.lock().unwrap_or_else(PoisonError::into_inner);
-        if short.len() > PEERS_KEPT {
-            short.retain(|_, lane| Arc::strong_count(lane) > 1);
+    /// Returns the semaphore that limits short calls to a peer.
+    fn semaphore(&self, address: SocketAddr) -> Arc<Semaphore> {
+        let mut short_calls = self.short_calls.lock().unwrap_or_else(PoisonError::into_inner);
+        if short_calls.len() > MAX_SHORT_PEERS {
+            short_calls.retain(|_, semaphore| Arc::strong_count(semaphore) > 1);
         }
-        let lane = short.entry(address).or_insert_with(|| Arc::new(Semaphore::new(SHORT_LIMIT)));
-        Arc::clone(lane)
+        let semaphore =
+            short_calls.entry(address).or_insert_with(|| Arc::new(Semaphore::new(MAX_SHORT_CALLS)));
+        Arc::clone(semaphore)
     }
 
     fn idle(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<Connection>>> {
@@ -168,11 +171,11 @@
         self.idle().get_mut(&address)?.pop()
     }
 
-    fn keep(&self, address: SocketAddr, connection: Connection) {
+    fn put_idle(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < IDLE_LIMIT && !connection.is_closed() {
-            kept.push(connection);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_PEER && !connection.is_closed() {
+            connections.push(connection);
         }
     }
 
@@ -182,29 +185,31 @@
     }
 }
 
+/// Why an exchange on a connection failed.
 enum Failure {
-    /// The request was not sent and is given back.
+    /// The request was not sent and is returned.
     Unsent(Box<Request<Full<Bytes>>>),
     /// The connection broke after the request was handed to it.
     Broken(String),
 }
 
-/// Waits for an answer until `end`, and longer by as much as this process is late itself: an answer that came in time and
-/// could not be read in time is no lost one. An owner with much to do would else take all its workers for silent at once.
-/// `None` if there is no answer.
-async fn in_time<T>(end: time::Instant, answer: impl Future<Output = T>) -> Option<T> {
-    tokio::pin!(answer);
+/// Waits for `response` until `end`, extended by the lateness of this process itself, and returns `None` on a timeout.
+///
+/// A response that arrived in time but was read late is not lost; otherwise a busy owner would take all its workers for
+/// unreachable at once.
+async fn within_deadline<T>(end: time::Instant, response: impl Future<Output = T>) -> Option<T> {
+    tokio::pin!(response);
     let mut end = end;
-    let last = end + LATENESS_MOST;
+    let last = end + MAX_LATENESS;
     loop {
-        if let Ok(answer) = time::timeout_at(end, &mut answer).await {
-            return Some(answer);
+        if let Ok(response) = time::timeout_at(end, &mut response).await {
+            return Some(response);
         }
-        let late = end.elapsed();
-        if late < LATENESS_LEAST || end >= last {
+        let lateness = end.elapsed();
+        if lateness < MIN_LATENESS || end >= last {
             return None;
         }
-        end = (time::Instant::now() + late).min(last);
+        end = (time::Instant::now() + lateness).min(last);
     }
 }
 
@@ -225,7 +230,7 @@
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| CallError::NotSent(error.to_string()))?;
-    // What breaks the connection is told by the exchange that it breaks.
+    // A connection error is reported by the exchange that it interrupts.
     tokio::spawn(async move {
         let _ = connection.await;
     });
--- a/reachhead_ops/src/deadline.rs
+++ b/reachhead_ops/src/deadline.rs
@@ -1,8 +1,8 @@
-//! A call no byte of which leaves the process after a moment.
+//! HTTP calls that send no byte after a deadline.
 //!
-//! A process may stand still at any instruction, also between its last look at the clock and the system call that
-//! sends a request. So the clock is read in the write itself, the connection is the call's own, and it is reset when
-//! the time is over: what the network still holds then is lost and not delivered late.
+//! A process may be paused at any instruction, also between its last check of the clock and the system call that
+//! sends a request. So each write checks the clock, each call has its own connection, and that is reset at the
+//! deadline: unacknowledged data in the socket is then discarded instead of delivered late.
 
 use std::{
     io,
@@ -29,11 +29,11 @@
 
 use crate::client::CallError;
 
-/// Longest sleep before the clock is looked at again. Timers stand still while the host is suspended, so one sleep until the end
-/// would go on for as long as that after it.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+/// Maximum sleep between two checks of the clock. Timers don't advance while the host is suspended, so a single sleep until the
+/// deadline would end too late by the time of suspension.
+const MAX_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Until when a call may write, and the clock that tells the time.
+/// The instant until which a call may write, and the clock to compare it with.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadline {
     until: BootInstant,
@@ -41,41 +41,42 @@
 }
 
 impl Deadline {
-    /// Returns the deadline at `until`.
+    /// Returns a deadline at `until` on the boot-time clock.
     pub fn new(until: BootInstant) -> Self {
         Self { until, clock: BootInstant::now }
     }
 
-    /// Sets the clock; a test's own, which can jump as the host's does after it was suspended.
+    /// Replaces the clock; tests use one that jumps like that of a host after a suspension.
     #[must_use]
     pub fn with_clock(self, clock: fn() -> BootInstant) -> Self {
         Self { clock, ..self }
     }
 
-    fn left(self) -> Duration {
+    fn remaining(self) -> Duration {
         self.until.duration_since((self.clock)())
     }
 
-    fn is_over(self) -> bool {
-        self.left().is_zero()
+    fn has_passed(self) -> bool {
+        self.remaining().is_zero()
     }
 
-    /// Waits until it is over.
-    async fn passed(self) {
-        while !self.is_over() {
-            time::sleep(self.left().min(LOOK_TIME)).await;
+    /// Waits until the deadline has passed.
+    async fn wait(self) {
+        while !self.has_passed() {
+            time::sleep(self.remaining().min(MAX_CHECK_PERIOD)).await;
         }
     }
 }
 
-/// A connection that writes nothing after a moment.
-struct BoundedStream {
+/// A TCP stream whose writes fail after the deadline.
+struct DeadlineStream {
     stream: TcpStream,
     deadline: Deadline,
-    written: Arc<AtomicBool>,
+    /// Set once any byte was written.
+    has_written: Arc<AtomicBool>,
 }
 
-impl AsyncRead for BoundedStream {
+impl AsyncRead for DeadlineStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -85,21 +86,21 @@
     }
 }
 
-impl AsyncWrite for BoundedStream {
+impl AsyncWrite for DeadlineStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.deadline.is_over() {
+        if self.deadline.has_passed() {
             return Poll::Ready(Err(io::Error::new(
                 io::ErrorKind::TimedOut,
-                "too late to be sent",
+                "deadline passed before the write",
             )));
         }
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
         if let Poll::Ready(Ok(_)) = written {
-            self.written.store(true, Ordering::Relaxed);
+            self.has_written.store(true, Ordering::Relaxed);
         }
         written
     }
@@ -113,25 +114,25 @@
     }
 }
 
-/// Sends a request on a connection of its own and returns its whole answer. Nothing is sent after the deadline, and the
-/// connection is reset then.
+/// Sends a request on its own connection and returns the buffered response. Nothing is sent after the deadline; a
+/// call that is still in flight then is aborted and its connection reset.
 ///
 /// # Errors
 ///
-/// `NotSent` if no byte was written, else `Lost`.
+/// [`CallError::NotSent`] if no byte was written, otherwise [`CallError::Lost`].
 pub async fn call_with_deadline(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     deadline: Deadline,
 ) -> Result<Response<Bytes>, CallError> {
-    let written = Arc::new(AtomicBool::new(false));
-    let call = exchange(address, request, deadline, Arc::clone(&written));
+    let has_written = Arc::new(AtomicBool::new(false));
+    let call = exchange(address, request, deadline, Arc::clone(&has_written));
     let result = tokio::select! {
         result = call => result,
-        () = deadline.passed() => Err("no answer in time".to_owned()),
+        () = deadline.wait() => Err("no response before the deadline".to_owned()),
     };
     result.map_err(|error| {
-        if written.load(Ordering::Relaxed) {
+        if has_written.load(Ordering::Relaxed) {
             CallError::Lost(error)
         } else {
             CallError::NotSent(error)
@@ -143,28 +144,28 @@
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     deadline: Deadline,
-    written: Arc<AtomicBool>,
+    has_written: Arc<AtomicBool>,
 ) -> Result<Response<Bytes>, String> {
     let text = |error: &dyn std::error::Error| error.to_string();
     let stream = TcpStream::connect(address).await.map_err(|error| text(&error))?;
     stream.set_nodelay(true).map_err(|error| text(&error))?;
     stream.set_zero_linger().map_err(|error| text(&error))?;
-    let stream = BoundedStream { stream, deadline, written };
+    let stream = DeadlineStream { stream, deadline, has_written };
     let (mut sender, connection) =
         http1::handshake(TokioIo::new(stream)).await.map_err(|error| text(&error))?;
-    let answer = async {
+    let response = async {
         let response = sender.send_request(request).await.map_err(|error| text(&error))?;
         let (head, body) = response.into_parts();
         let body = body.collect().await.map_err(|error| text(&error))?;
         Ok(Response::from_parts(head, body.to_bytes()))
     };
-    tokio::pin!(answer, connection);
-    // Both are dropped together, so nothing is left that could still write.
+    tokio::pin!(response, connection);
+    // Both are dropped together, so nothing remains that could still write.
     tokio::select! {
         biased;
-        answer = &mut answer => answer,
-        ended = &mut connection => match ended {
-            Ok(()) => answer.await,
+        response = &mut response => response,
+        result = &mut connection => match result {
+            Ok(()) => response.await,
             Err(error) => Err(text(&error)),
         },
     }
--- a/reachhead_ops/src/event.rs
+++ b/reachhead_ops/src/event.rs
@@ -1,4 +1,4 @@
-//! Numbered events; docs/EVENTS.md is their catalogue, and a test holds the two equal.
+//! Numbered log events. docs/EVENTS.md lists them, and a test keeps both equal.
 
 use std::fmt::{Arguments, Display};
 
@@ -6,7 +6,7 @@
 
 macro_rules! events {
     ($($(#[doc = $doc:literal])* $event:ident $number:literal $level:ident;)*) => {
-        /// Everything that a process logs for operators.
+        /// A log event for operators.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Event {
             $($(#[doc = $doc])* $event,)*
@@ -16,7 +16,7 @@
             /// All events in the order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$event),*];
 
-            /// Returns the event's number; numbers are never used again for another event.
+            /// Returns the event's number; numbers are never reused for another event.
             pub const fn number(self) -> u16 {
                 match self {
                     $(Self::$event => $number,)*
@@ -30,7 +30,7 @@
                 }
             }
 
-            /// Returns what the event means, as the catalogue has it.
+            /// Returns the event's meaning, as listed in docs/EVENTS.md.
             pub const fn meaning(self) -> &'static str {
                 match self {
                     $(Self::$event => concat!($($doc),*),)*
@@ -41,113 +41,113 @@
 }
 
 events! {
-    /// The process started and listens.
+    /// The process has started and is listening.
     Started 100 Info;
-    /// A shutdown was asked for; the process is not ready any more.
+    /// A shutdown was requested; the process is no longer ready.
     ShutdownBegun 101 Info;
-    /// The process ends, everything in flight is finished.
+    /// The process exits; all work in flight has completed.
     ShutdownDone 102 Info;
-    /// The shutdown's limit passed with requests in flight.
+    /// The shutdown timed out with requests in flight.
     ShutdownCut 103 Warn;
     /// A listener could not accept a connection.
     AcceptFailed 110 Warn;
     /// A configuration version is in force in this process.
     ConfigInForce 200 Info;
-    /// A configuration could not be used; the last one stays in force.
+    /// A configuration was rejected; the previous one stays in force.
     ConfigRefused 201 Error;
-    /// Versions are missing, so the whole configuration is fetched.
+    /// Configuration versions are missing, so the whole configuration is fetched.
     ConfigGap 202 Info;
-    /// A change was accepted.
+    /// A configuration change was accepted.
     ChangeAccepted 210 Info;
-    /// A change was refused.
+    /// A configuration change was rejected.
     ChangeRefused 211 Info;
-    /// A change's answer from the store was lost and looked up.
+    /// The store's reply to a configuration change was lost, and the outcome was looked up.
     ChangeLookedUp 212 Warn;
     /// The store does not answer.
     StoreLost 300 Warn;
     /// The store answers again.
     StoreBack 301 Info;
-    /// Claims older than they are kept for were deleted.
+    /// Claims past their retention time were deleted.
     ClaimsCleaned 310 Info;
-    /// The list of entry hosts changed.
+    /// The membership list of the entry hosts changed.
     MembersChanged 400 Info;
-    /// This host hears neither the store nor a peer.
+    /// This host is partitioned from the store and from all peers.
     Cut 401 Error;
-    /// This host hears the store or a peer again.
+    /// This host reaches the store or a peer again.
     CutOver 402 Info;
-    /// This entry process does not hear its control, or hears it again.
+    /// This entry process lost contact with its control process, or regained it.
     ControlLost 403 Warn;
-    /// The row of an entry host stood still for so long that it is taken off the list.
+    /// The heartbeat of an entry host timed out; the host is removed from the membership list.
     MemberGone 404 Warn;
-    /// This host was taken off the list of entry hosts and comes back as a new stay.
+    /// This host was removed from the membership list of the entry hosts and rejoins as a new incarnation.
     TakenOff 405 Warn;
     /// The platform's host list changed; these hosts are leaving.
     HostsLeaving 406 Info;
-    /// A process entered or left the list of members, or was taken off it since it does not answer.
+    /// A process joined or left the membership list, or was removed from it because it does not answer.
     MemberChanged 407 Info;
-    /// A minion failed so often that it is left alone for a while.
+    /// A minion was ejected for a while after repeated failures.
     MinionEjected 500 Warn;
-    /// A minion that was left alone is tried again.
+    /// An ejected minion is tried again.
     MinionRestored 501 Info;
-    /// A minion said that it is going away.
+    /// A minion announced that it is shutting down.
     MinionLeaving 502 Info;
-    /// This host is in charge of a pool from now on.
+    /// This host became the owner of a pool.
     LeaseTaken 600 Info;
-    /// This host is not in charge of a pool any more.
+    /// This host is no longer the owner of a pool.
     LeaseEnded 601 Info;
-    /// This host hands a pool over to one that bears it better.
+    /// This process handed a pool over to one with more capacity.
     PoolYielded 602 Info;
-    /// Somebody else is in charge of a pool, and this process knows it from now on.
+    /// This process learned that another process owns a pool.
     OwnerKnown 603 Info;
-    /// A host of a pool changed its phase.
+    /// A host of a pool entered another phase.
     HostEntered 610 Info;
-    /// A host changed its pool.
+    /// A host moved to another pool.
     HostMoved 611 Info;
-    /// A job was accepted and is stored.
+    /// A job was accepted and stored.
     JobAccepted 700 Info;
-    /// A caller's request was refused or failed.
+    /// A caller's request was rejected or failed.
     CallRefused 701 Info;
-    /// A job is over, and that is recorded.
+    /// A job ended, and its end is recorded.
     JobEnded 702 Info;
-    /// A run of a task failed, was lost or was turned away.
+    /// A run of a task failed, was lost or was rejected by its worker.
     RunLost 703 Info;
     /// The owner of a pool stopped a run.
     RunStopped 704 Info;
-    /// The owner of a pool took over a run that a predecessor had started.
+    /// The owner of a pool adopted a run that a previous owner had started.
     RunAdopted 705 Info;
-    /// A worker does not answer, fails what it is given, or is over.
+    /// A worker does not answer, fails its runs, or has died.
     WorkerDoubted 706 Warn;
-    /// The owner of a pool told a caller that a job is cancelled.
+    /// The owner of a pool confirmed to a caller that a job is cancelled.
     JobCancelled 707 Info;
-    /// Tasks of a step were given to workers.
+    /// Tasks of a step were placed on workers.
     StepPlaced 708 Info;
-    /// Tasks wait since their customer's quota is used up in a pool: how many, what they need, what is left.
+    /// Tasks wait because their customer's quota in a pool is used up: how many, what they need, what is left.
     QuotaReached 709 Info;
-    /// A change of a pool's rows was not taken by the store.
+    /// The store did not accept a write to a pool's rows.
     RecordFailed 710 Warn;
     /// A pool's owner does not answer its peers.
     OwnerSilent 711 Warn;
-    /// A table of the platform is followed anew from its rows.
+    /// A table of the platform was read in full, and its change feed is followed from there.
     TableRead 712 Info;
-    /// A row of the platform can't be understood and is left out.
+    /// A row of the platform can't be parsed and is skipped.
     RowRefused 713 Warn;
-    /// A worker's life ended while runs were there: how many, and which of them had not begun to work.
+    /// A worker's incarnation ended with runs on it: how many, and which of them had not started to work.
     WorkerCrashed 714 Warn;
-    /// A task is given up and its job fails, since workers crash under it.
+    /// A task is given up and its job fails because workers crash while running it.
     TaskGivenUp 715 Warn;
-    /// A row that the store refuses for its size is set aside, so that what else is to be written goes on.
+    /// A row that the store rejects for its size is set aside so that other writes go on.
     RowHeld 716 Warn;
-    /// A wave began, went on in other hands, or is completed.
+    /// A maintenance wave started, continued under another owner, or completed.
     WaveChanged 720 Info;
-    /// A host was ordered down for a wave, or the order was not taken.
+    /// A host was ordered down for a maintenance wave or into another pool, or the order was not accepted.
     HostOrdered 721 Info;
-    /// A host that is due for maintenance can't be taken yet.
+    /// A host that is due for maintenance can't be taken down yet.
     HostHeld 722 Info;
-    /// What a pool has and needs of hosts has changed.
+    /// The hosts that a pool has or needs have changed.
     RoomPlanned 723 Info;
-    /// Operators drain a zone, or take that back; this process knows it from now on.
+    /// This process learned that operators drain an availability zone or have cancelled the drain.
     ZoneDrained 724 Info;
-    /// Lines of the log were left out, since there were too many.
+    /// Log lines were dropped because there were too many.
     LinesDropped 730 Warn;
 }
 
--- a/reachhead_ops/src/http.rs
+++ b/reachhead_ops/src/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP servers for operators: one handler, whole bodies, graceful shutdown.
+//! Small HTTP server with buffered bodies and graceful shutdown.
 
 use std::{convert::Infallible, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,40 +25,40 @@
     runtime,
 };
 
-/// Longest time in which a head must arrive.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+/// Timeout for receiving a request head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest time in which a body must arrive.
-const BODY_TIME: Duration = Duration::from_secs(30);
+/// Timeout for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause after a failed accept, so that a lack of descriptors is not met by a busy loop.
+/// Pause after a failed accept, which avoids a busy loop while file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request whose body has arrived whole.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct BufferedRequest {
     /// The method.
     pub method: Method,
     /// The path.
     pub path: String,
-    /// The query, without its question mark.
+    /// The query string without the question mark.
     pub query: String,
-    /// The header fields.
+    /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
-/// An answer with a whole body.
+/// A response with its complete body.
 pub type BufferedResponse = Response<Full<Bytes>>;
 
-/// Answers requests.
+/// A request handler.
 pub trait Handler: Send + Sync + 'static {
-    /// Returns the answer to `request`.
+    /// Returns the response to `request`.
     fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse>;
 }
 
-/// Returns an answer with `value` as JSON.
+/// Returns a response with `value` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> BufferedResponse {
     match serde_json::to_vec(value) {
         Ok(body) => with_content_type(status, "application/json", body),
@@ -66,32 +66,34 @@
     }
 }
 
-/// Returns an answer with `body` as plain text.
+/// Returns a response with `body` as plain text.
 pub fn text(status: StatusCode, body: &str) -> BufferedResponse {
     with_content_type(status, "text/plain; charset=utf-8", body.to_owned().into_bytes())
 }
 
-/// Returns an answer with `body` of the media type `kind`.
+/// Returns a response with `body` and the media type `content_type`.
 pub fn with_content_type(
     status: StatusCode,
-    kind: &'static str,
+    content_type: &'static str,
     body: Vec<u8>,
 ) -> BufferedResponse {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-/// Serves `handler` on `listener` until `stop` turns true, then finishes what is in flight.
+/// Serves `handler` on `listener` until `stop` turns true, then waits for requests in flight.
+///
+/// Larger request bodies than `body_limit` bytes are rejected.
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
     body_limit: usize,
     mut stop: watch::Receiver<bool>,
 ) {
-    // Connections hold a clone; the channel closes once the last of them is finished.
-    let (alive, all_done) = watch::channel(());
+    // Each connection holds a receiver; the channel closes when the last of them has ended.
+    let (open, open_receiver) = watch::channel(());
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -103,7 +105,7 @@
                     handler: Arc::clone(&handler),
                     body_limit,
                     stop: stop.clone(),
-                    _alive: all_done.clone(),
+                    _open: open_receiver.clone(),
                 };
                 tokio::spawn(connection.run(stream));
             }
@@ -113,15 +115,15 @@
             }
         }
     }
-    drop(all_done);
-    alive.closed().await;
+    drop(open_receiver);
+    open.closed().await;
 }
 
 struct Connection {
     handler: Arc<dyn Handler>,
     body_limit: usize,
     stop: watch::Receiver<bool>,
-    _alive: watch::Receiver<()>,
+    _open: watch::Receiver<()>,
 }
 
 impl Connection {
@@ -133,15 +135,15 @@
         let limit = self.body_limit;
         let service = service_fn(move |request| {
             let handler = Arc::clone(&handler);
-            async move { Ok::<_, Infallible>(answer(&*handler, request, limit).await) }
+            async move { Ok::<_, Infallible>(respond(&*handler, request, limit).await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIME)
+            .header_read_timeout(HEAD_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         let stopped = tokio::select! {
-            // A connection that breaks is its caller's affair.
+            // Errors on a connection concern only its client.
             _ = connection.as_mut() => false,
             () = runtime::wait_for_stop(&mut self.stop) => true,
         };
@@ -152,19 +154,19 @@
     }
 }
 
-async fn answer(
+async fn respond(
     handler: &dyn Handler,
     request: Request<Incoming>,
     limit: usize,
 ) -> BufferedResponse {
     let (head, body) = request.into_parts();
-    let body = match time::timeout(BODY_TIME, Limited::new(body, limit).collect()).await {
+    let body = match time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+            return text(StatusCode::PAYLOAD_TOO_LARGE, "request body too large\n");
         }
         Ok(Err(error)) => return text(StatusCode::BAD_REQUEST, &format!("{error}\n")),
-        Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body did not arrive in time\n"),
+        Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "request body timed out\n"),
     };
     let request = BufferedRequest {
         method: head.method,
@@ -176,11 +178,11 @@
     handler.handle(request).await
 }
 
-/// Listens on `address`.
+/// Binds a listener to `address`.
 ///
 /// # Errors
 ///
-/// What the system said, with the address in the message.
+/// Returns the system's error, with the address in its message.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await.map_err(|error| {
         io::Error::new(error.kind(), format!("can't listen on {address}: {error}"))
--- a/reachhead_ops/src/lib.rs
+++ b/reachhead_ops/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every long-lived process shares: command line, events, ops listener, signals, threads.
+//! Infrastructure shared by all processes: command line, HTTP, log events, ops listener, runtime and signals.
 
 pub mod cli;
 pub mod client;
--- a/reachhead_ops/src/listener.rs
+++ b/reachhead_ops/src/listener.rs
@@ -1,4 +1,4 @@
-//! The ops listener: `/live`, `/ready`, `/metrics` and `/state`, on a thread of its own.
+//! HTTP listener for operators with `/live`, `/ready`, `/metrics` and `/state`, on its own thread.
 
 use std::{
     io,
@@ -18,29 +18,29 @@
     runtime,
 };
 
-/// Media type of the metrics.
+/// Media type of `/metrics`.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A process as its operators see it.
+/// Health, state and metrics of a process, as shown to operators.
 pub trait ProcessStatus: Send + Sync + 'static {
     /// Returns why the process is not ready, or `None` if it is.
     fn unready_reason(&self) -> Option<String>;
 
-    /// Returns the process's state for `/state`.
+    /// Returns the process's state as JSON for `/state`.
     fn state(&self) -> BoxFuture<'_, Value>;
 
-    /// Brings metrics up to date that are read off the state; called before each `/metrics`.
+    /// Updates metrics that are computed from the state; called before each response to `/metrics`.
     fn refresh_metrics(&self) {}
 }
 
 struct OpsHandler {
-    observed: Arc<dyn ProcessStatus>,
+    status: Arc<dyn ProcessStatus>,
     registry: Mutex<Registry>,
 }
 
 impl OpsHandler {
     fn ready(&self) -> BufferedResponse {
-        match self.observed.unready_reason() {
+        match self.status.unready_reason() {
             None => http::text(StatusCode::OK, "ready\n"),
             Some(reason) => {
                 http::text(StatusCode::SERVICE_UNAVAILABLE, &format!("not ready: {reason}\n"))
@@ -49,7 +49,7 @@
     }
 
     fn metrics(&self) -> BufferedResponse {
-        self.observed.refresh_metrics();
+        self.status.refresh_metrics();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut body = String::new();
         match encode(&mut body, &registry) {
@@ -69,7 +69,7 @@
                 "/live" => http::text(StatusCode::OK, "live\n"),
                 "/ready" => self.ready(),
                 "/metrics" => self.metrics(),
-                "/state" => http::json(StatusCode::OK, &self.observed.state().await),
+                "/state" => http::json(StatusCode::OK, &self.status.state().await),
                 _ => http::text(StatusCode::NOT_FOUND, "/live /ready /metrics /state\n"),
             }
         }
@@ -77,28 +77,28 @@
     }
 }
 
-/// Starts the ops listener on `address`; it serves as long as the process lives.
+/// Starts the ops listener on `address`, for the lifetime of the process.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be listened on or there is no thread.
+/// Fails if the address can't be bound or the thread can't be started.
 pub fn start(
     address: SocketAddr,
-    observed: Arc<dyn ProcessStatus>,
+    status: Arc<dyn ProcessStatus>,
     registry: Registry,
 ) -> io::Result<()> {
     let listener = std::net::TcpListener::bind(address).map_err(|error| {
         io::Error::new(error.kind(), format!("can't listen on {address}: {error}"))
     })?;
     listener.set_nonblocking(true)?;
-    let handler = Arc::new(OpsHandler { observed, registry: Mutex::new(registry) });
+    let handler = Arc::new(OpsHandler { status, registry: Mutex::new(registry) });
     let runtime = runtime::current_thread()?;
     thread::Builder::new().name("ops".to_owned()).spawn(move || {
         runtime.block_on(async move {
-            let (_keep, stop) = watch::channel(false);
+            let (_stop_sender, stop) = watch::channel(false);
             match tokio::net::TcpListener::from_std(listener) {
                 Ok(listener) => http::serve(listener, handler, 0, stop).await,
-                Err(error) => log::error!("the ops listener can't start: {error}"),
+                Err(error) => log::error!("starting the ops listener failed: {error}"),
             }
         });
     })?;
--- a/reachhead_ops/src/logs.rs
+++ b/reachhead_ops/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logs on standard output that never hold the process up: lines go through a bounded queue to a thread
-//! that writes them, and beyond a rate or when the queue is full they are counted and left out.
+//! Non-blocking logger on standard output: lines go through a bounded queue to a writer thread, and lines
+//! above a rate limit or beyond a full queue are dropped and counted.
 
 use std::{
     io::{self, Write},
@@ -13,35 +13,38 @@
 
 use crate::event::Event;
 
-/// Lines that wait to be written at most.
+/// Maximum number of lines in the queue.
 const QUEUE_LINES: usize = 2048;
 
-/// Lines a second at most; a process on a part of a core must not spend itself on its log.
-const RATE_LINES: u32 = 400;
+/// Maximum number of lines per window, so that a process with a fraction of a core does not spend it on
+/// logging.
+const MAX_WINDOW_LINES: u32 = 400;
 
-/// The window over which the rate is counted.
+/// Length of a rate limit window.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What is under way from the logger to the writing thread.
-struct Queue {
+/// Rate-limited sender of log lines to the writer thread.
+struct LogQueue {
     sender: SyncSender<Vec<u8>>,
-    window: Instant,
-    lines: u32,
+    window_start: Instant,
+    /// Lines in the current window.
+    window_lines: u32,
+    /// Dropped lines that were not yet reported.
     dropped: u64,
 }
 
-impl Queue {
+impl LogQueue {
     fn new(sender: SyncSender<Vec<u8>>) -> Self {
-        Self { sender, window: Instant::now(), lines: 0, dropped: 0 }
+        Self { sender, window_start: Instant::now(), window_lines: 0, dropped: 0 }
     }
 
-    /// Starts a new window if the old one is over, and tells how many lines were left out.
-    fn turn(&mut self) {
-        if self.window.elapsed() < RATE_WINDOW {
+    /// Starts a new window if the current one has ended, and logs how many lines were dropped.
+    fn advance_window(&mut self) {
+        if self.window_start.elapsed() < RATE_WINDOW {
             return;
         }
-        self.window = Instant::now();
-        self.lines = 0;
+        self.window_start = Instant::now();
+        self.window_lines = 0;
         if self.dropped > 0 {
             let event = Event::LinesDropped;
             let line = format!(
@@ -57,11 +60,11 @@
     }
 }
 
-impl Write for Queue {
+impl Write for LogQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.turn();
-        self.lines += 1;
-        if self.lines > RATE_LINES {
+        self.advance_window();
+        self.window_lines += 1;
+        if self.window_lines > MAX_WINDOW_LINES {
             self.dropped += 1;
             return Ok(line.len());
         }
@@ -77,7 +80,7 @@
     }
 }
 
-/// Writes lines as they come; a standard output that fails has nobody left to be told.
+/// Writes queued lines until the queue closes or standard output fails, which can't be reported anywhere.
 fn write_lines(lines: &Receiver<Vec<u8>>) {
     let mut out = io::stdout().lock();
     while let Ok(first) = lines.recv() {
@@ -91,11 +94,11 @@
     }
 }
 
-/// Starts the logger on standard output: info and up, unless `RUST_LOG` says otherwise.
+/// Starts the logger on standard output at level info, unless `RUST_LOG` sets another.
 ///
 /// # Errors
 ///
-/// If there is no thread for it.
+/// Fails if the writer thread can't be started.
 pub fn init() -> io::Result<()> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     thread::Builder::new().name("logs".to_owned()).spawn(move || write_lines(&receiver))?;
@@ -103,7 +106,7 @@
         .filter_level(LevelFilter::Info)
         .parse_default_env()
         .format_timestamp_millis()
-        .target(Target::Pipe(Box::new(Queue::new(sender))))
+        .target(Target::Pipe(Box::new(LogQueue::new(sender))))
         .init();
     Ok(())
 }
--- a/reachhead_ops/src/logs_tests.rs
+++ b/reachhead_ops/src/logs_tests.rs
@@ -1,19 +1,19 @@
-//! The queue of the log under load.
+//! Log lines are dropped and counted under load, and writers never block.
 
 use std::{io::Write, sync::mpsc::sync_channel};
 
-use super::{QUEUE_LINES, Queue, RATE_LINES};
+use super::{LogQueue, MAX_WINDOW_LINES, QUEUE_LINES};
 
 #[test]
-fn a_flood_of_lines_is_cut_and_counted_and_never_waits() {
+fn lines_above_the_rate_limit_are_dropped_and_counted() {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
-    let mut queue = Queue::new(sender);
-    for _ in 0..RATE_LINES + 50 {
+    let mut queue = LogQueue::new(sender);
+    for _ in 0..MAX_WINDOW_LINES + 50 {
         queue.write_all(b"line\n").unwrap();
     }
-    assert_eq!(receiver.try_iter().count(), RATE_LINES as usize);
+    assert_eq!(receiver.try_iter().count(), MAX_WINDOW_LINES as usize);
     assert_eq!(queue.dropped, 50);
-    queue.window = queue.window.checked_sub(super::RATE_WINDOW).unwrap();
+    queue.window_start = queue.window_start.checked_sub(super::RATE_WINDOW).unwrap();
     queue.write_all(b"line\n").unwrap();
     let lines: Vec<String> =
         receiver.try_iter().map(|line| String::from_utf8(line).unwrap()).collect();
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_costs_lines_and_no_time() {
+fn a_stalled_writer_drops_lines_without_blocking() {
     let (sender, receiver) = sync_channel(3);
-    let mut queue = Queue::new(sender);
+    let mut queue = LogQueue::new(sender);
     for _ in 0..10 {
         queue.write_all(b"line\n").unwrap();
     }
--- a/reachhead_ops/src/runtime.rs
+++ b/reachhead_ops/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Runtimes and signals.
+//! Tokio runtimes and shutdown signals.
 
 use std::io;
 
@@ -8,20 +8,20 @@
     sync::watch,
 };
 
-/// Returns a runtime that runs everything on the calling thread.
+/// Returns a runtime that runs all tasks on the calling thread.
 ///
 /// # Errors
 ///
-/// Fails if the system gives no event queue.
+/// Fails if the system can't create an event queue.
 pub fn current_thread() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
 
-/// Waits for SIGTERM or SIGINT, the two that ask for a graceful shutdown.
+/// Waits for SIGTERM or SIGINT, which request a graceful shutdown.
 ///
 /// # Errors
 ///
-/// Fails if the signals can't be watched.
+/// Fails if the signal handlers can't be registered.
 pub async fn shutdown_signal() -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -32,7 +32,7 @@
     Ok(())
 }
 
-/// Waits until `stop` turns true or its sender is gone.
+/// Waits until `stop` turns true or its sender is dropped.
 pub async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|&stop| stop).await;
 }
--- a/reachhead_ops/tests/connections.rs
+++ b/reachhead_ops/tests/connections.rs
@@ -1,4 +1,4 @@
-//! How many connections a client keeps open.
+//! The number of idle connections that a client keeps open is bounded.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -21,13 +21,13 @@
     time,
 };
 
-/// More peers than any process has connections for.
+/// Last octets of the peer addresses, from 1.
 const PEERS: u8 = 250;
 
-/// Addresses of each of these.
+/// Third octets of the peer addresses; `PEERS * ROUNDS` exceeds the limit on idle peers.
 const ROUNDS: u8 = 4;
 
-/// Answers every call and counts the connections that are open.
+/// Answers every call and counts the open connections.
 async fn serve(open: Arc<AtomicUsize>) -> u16 {
     let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).await.unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -51,10 +51,10 @@
     port
 }
 
-/// An owner of 1,451 workers kept up to three idle connections to each after a burst: 3,786 descriptors of the 4,100 that a host
-/// has, and most of its memory.
+/// Guards against file descriptor exhaustion: without a limit, an owner of 1,451 workers kept up to three idle connections to
+/// each after a burst, which took 3,786 of the 4,100 descriptors of its host and most of its memory.
 #[tokio::test]
-async fn connections_of_short_calls_are_bounded_over_all_peers() {
+async fn idle_connections_of_short_calls_are_bounded_across_peers() {
     let open = Arc::new(AtomicUsize::new(0));
     let port = serve(Arc::clone(&open)).await;
     let client = HttpClient::new();
@@ -68,5 +68,5 @@
     time::sleep(Duration::from_millis(200)).await;
     let open = open.load(Ordering::Relaxed);
     assert!(open <= 600, "{open} of {} are open", u32::from(PEERS) * u32::from(ROUNDS));
-    assert!(open >= 400, "{open}: peers that are called again soon would need new ones");
+    assert!(open >= 400, "only {open} are open; repeated calls would need new connections");
 }
--- a/reachhead_ops/tests/deadline.rs
+++ b/reachhead_ops/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! Calls that must not leave the process after a moment, on real sockets.
+//! Calls send nothing after their deadline and reset the connection, on real sockets.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -30,11 +30,11 @@
     request.body(Full::new(Bytes::from_static(b"{}"))).unwrap()
 }
 
-/// Accepts one connection, answers if it should, and tells what it read until the connection ended.
+/// Accepts one connection, responds if `answers`, and reports the bytes read and whether the connection was reset.
 async fn server(answers: bool) -> (SocketAddr, oneshot::Receiver<(usize, bool)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (told, seen) = oneshot::channel();
+    let (sender, report) = oneshot::channel();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut buffer = [0; 4096];
@@ -49,87 +49,89 @@
                 stream.write_all(ANSWER).await.unwrap();
             }
         };
-        let _ = told.send((count, reset));
+        let _ = sender.send((count, reset));
     });
-    (address, seen)
+    (address, report)
 }
 
-/// Stands still for the whole process, as a frozen one does, once the call has begun.
-async fn freeze(span: Duration) {
+/// Blocks the only thread for `span` once the call has started, like a paused process.
+async fn block_thread(span: Duration) {
     tokio::task::yield_now().await;
     std::thread::sleep(span);
 }
 
 #[tokio::test]
-async fn an_order_in_time_is_answered() {
-    let (address, _seen) = server(true).await;
+async fn a_call_before_its_deadline_is_answered() {
+    let (address, _report) = server(true).await;
     let until = BootInstant::now() + Duration::from_secs(5);
     let answer = call_with_deadline(address, order(address), Deadline::new(until)).await.unwrap();
     assert_eq!((answer.status().as_u16(), answer.body().as_ref()), (200, b"ok".as_ref()));
 }
 
 #[tokio::test]
-async fn a_process_that_is_frozen_between_the_check_and_the_send_sends_nothing() {
-    let (address, seen) = server(true).await;
+async fn a_process_paused_past_the_deadline_sends_nothing() {
+    let (address, report) = server(true).await;
     let until = BootInstant::now() + Duration::from_millis(30);
     let call = call_with_deadline(address, order(address), Deadline::new(until));
-    let (result, ()) = tokio::join!(call, freeze(Duration::from_millis(120)));
+    let (result, ()) = tokio::join!(call, block_thread(Duration::from_millis(120)));
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
-    assert_eq!(time::timeout(Duration::from_secs(5), seen).await.unwrap().unwrap().0, 0);
+    assert_eq!(time::timeout(Duration::from_secs(5), report).await.unwrap().unwrap().0, 0);
 }
 
-/// What the clock of a host that was suspended for a while shows.
-fn resumed() -> BootInstant {
+/// The boot-time clock of a host that was suspended for five seconds.
+fn clock_after_suspend() -> BootInstant {
     BootInstant::now() + Duration::from_secs(5)
 }
 
-/// Timers and the steady clock stood still for the five seconds in which the host was suspended; the lease on which the order was
-/// to be given did not.
+/// Timers and the monotonic clock did not advance while the host was suspended for five seconds, but the lease under which the
+/// order was to be sent expired.
 #[tokio::test]
-async fn a_host_that_was_suspended_before_the_send_sends_nothing() {
-    let (address, seen) = server(true).await;
-    let deadline = Deadline::new(BootInstant::now() + Duration::from_secs(2)).with_clock(resumed);
+async fn a_host_suspended_past_the_deadline_sends_nothing() {
+    let (address, report) = server(true).await;
+    let deadline =
+        Deadline::new(BootInstant::now() + Duration::from_secs(2)).with_clock(clock_after_suspend);
     let result = call_with_deadline(address, order(address), deadline).await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
-    // Whether it connected before it looked at the clock is left open; not a byte may arrive.
-    let bytes =
-        time::timeout(Duration::from_millis(300), seen).await.map_or(0, |seen| seen.unwrap().0);
+    // It may have connected before it checked the clock, but no byte may arrive.
+    let bytes = time::timeout(Duration::from_millis(300), report)
+        .await
+        .map_or(0, |report| report.unwrap().0);
     assert_eq!(bytes, 0);
 }
 
-/// A call that is under way is reset soon after the host wakes up, and not once a timer has run out that stood still meanwhile.
+/// A call in flight is reset soon after the host resumes, not when a timer expires that did not advance during the suspension.
 #[tokio::test]
-async fn a_host_that_is_suspended_during_a_call_resets_its_connection_when_it_wakes_up() {
+async fn a_host_suspended_during_a_call_resets_the_connection_on_resume() {
     static SUSPENDED: AtomicBool = AtomicBool::new(false);
     fn clock() -> BootInstant {
-        if SUSPENDED.load(Ordering::Relaxed) { resumed() } else { BootInstant::now() }
+        if SUSPENDED.load(Ordering::Relaxed) { clock_after_suspend() } else { BootInstant::now() }
     }
-    let (address, seen) = server(false).await;
+    let (address, report) = server(false).await;
     let deadline = Deadline::new(BootInstant::now() + Duration::from_secs(4)).with_clock(clock);
     let call = call_with_deadline(address, order(address), deadline);
     let sleep = async {
         time::sleep(Duration::from_millis(100)).await;
         SUSPENDED.store(true, Ordering::Relaxed);
     };
-    let begun = time::Instant::now();
+    let started_at = time::Instant::now();
     let (result, ()) = tokio::join!(call, sleep);
     assert!(matches!(result, Err(CallError::Lost(_))), "{result:?}");
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
-    assert!(time::timeout(Duration::from_secs(5), seen).await.unwrap().unwrap().1, "a reset");
+    assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
+    assert!(time::timeout(Duration::from_secs(5), report).await.unwrap().unwrap().1, "a reset");
 }
 
 #[tokio::test]
-async fn an_order_without_an_answer_is_lost_and_its_connection_reset() {
-    let (address, seen) = server(false).await;
+async fn an_unanswered_call_is_lost_and_its_connection_is_reset() {
+    let (address, report) = server(false).await;
     let until = BootInstant::now() + Duration::from_millis(60);
     let result = call_with_deadline(address, order(address), Deadline::new(until)).await;
     assert!(matches!(result, Err(CallError::Lost(_))), "{result:?}");
-    let (count, reset) = time::timeout(Duration::from_secs(5), seen).await.unwrap().unwrap();
-    assert!(count > 0 && reset, "what the network still holds is lost with a reset");
+    let (count, reset) = time::timeout(Duration::from_secs(5), report).await.unwrap().unwrap();
+    assert!(count > 0 && reset, "expected data and a reset: got {count} bytes, reset {reset}");
 }
 
 #[tokio::test]
-async fn an_order_to_nobody_is_not_sent() {
+async fn a_call_to_a_closed_port_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
--- a/reachhead_ops/tests/events.rs
+++ b/reachhead_ops/tests/events.rs
@@ -1,13 +1,13 @@
-//! The catalogue of events equals the code.
+//! docs/EVENTS.md matches the events in the code.
 
 use std::{collections::BTreeSet, fs, path::Path};
 
 use reachhead_ops::event::Event;
 
 #[test]
-fn the_catalogue_has_every_event_and_no_other() {
+fn docs_list_exactly_the_events_in_the_code() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/EVENTS.md");
-    let text = fs::read_to_string(path).expect("the catalogue is there");
+    let text = fs::read_to_string(path).expect("docs/EVENTS.md can be read");
     let rows: BTreeSet<&str> = text.lines().filter(|line| line.starts_with("| E")).collect();
     let expected: Vec<String> = Event::ALL
         .iter()
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn no_number_is_used_twice() {
+fn event_numbers_are_unique() {
     let numbers: BTreeSet<u16> = Event::ALL.iter().map(|event| event.number()).collect();
     assert_eq!(numbers.len(), Event::ALL.len());
 }
--- a/reachhead_ops/tests/lateness.rs
+++ b/reachhead_ops/tests/lateness.rs
@@ -1,4 +1,4 @@
-//! A process that is late itself does not take its peers for silent.
+//! A busy process does not time out on responses that arrived in time.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -13,11 +13,13 @@
 use hyper::{Request, header};
 use reachhead_ops::client::HttpClient;
 
-/// How long a caller of the test waits, and how much longer its process is busy.
+/// Deadline of the call.
 const DEADLINE: Duration = Duration::from_millis(150);
+
+/// How long the client's thread is blocked during the call, well past the deadline.
 const BUSY: Duration = Duration::from_millis(600);
 
-/// Answers one call after a moment, in a thread that nothing here holds up.
+/// Answers one call within its deadline, on a thread that the blocked client does not delay.
 fn serve() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -33,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_came_in_time_counts_though_the_process_was_too_busy_to_read_it() {
+async fn a_response_in_time_counts_even_if_the_process_reads_it_late() {
     let address = serve();
     let client = HttpClient::new();
     let request = Request::builder()
@@ -41,7 +43,7 @@
         .header(header::HOST, address.to_string())
         .body(Full::default())
         .unwrap();
-    // Something else takes the only thread once the call is under way.
+    // Blocks the client's only thread while the call is in flight.
     tokio::spawn(async {
         tokio::time::sleep(DEADLINE / 6).await;
         thread::sleep(BUSY);
