--- a/reachhead_admin/src/api/change.rs
+++ b/reachhead_admin/src/api/change.rs
@@ -1,4 +1,4 @@
-//! Changes, and changes that undo others.
+//! Configuration changes and their undo.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -22,20 +22,20 @@
     auth::Caller,
 };
 
-/// Versions after which the log is cut; less than one cut takes off, so that it keeps up.
-const CUT_PERIOD: u64 = 32;
+/// Number of versions between two truncations of the log; less than one truncation deletes, so that the log stays bounded.
+const LOG_TRUNCATION_PERIOD: u64 = 32;
 
-/// The answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Serialize)]
 struct Accepted {
     version: Version,
 }
 
-/// A request to undo a version.
+/// Request to undo a version.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct UndoRequest {
-    /// The id of the change that undoes it.
+    /// Id of the change that undoes it.
     id: ChangeId,
     /// The version to undo.
     version: Version,
@@ -49,7 +49,7 @@
         snapshot: MutexGuard<'_, ConfigSnapshot>,
     ) -> BufferedResponse {
         match serde_json::from_slice(body) {
-            Ok(request) => self.make(&request, caller, snapshot).await,
+            Ok(request) => self.apply_change(&request, caller, snapshot).await,
             Err(error) => api::problem(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
@@ -66,52 +66,53 @@
         };
         let log = match history::find(&*self.store, version).await {
             Ok(Some(log)) => log,
-            Ok(None) => return api::problem(StatusCode::NOT_FOUND, "there is no such version"),
+            Ok(None) => return api::problem(StatusCode::NOT_FOUND, "no such version"),
             Err(error) => return api::store_problem(&error),
         };
-        let Some(fleet) = api::fleet(&snapshot) else {
-            return api::faulty();
+        let Some(fleet) = api::parse_fleet(&snapshot) else {
+            return api::invalid_configuration();
         };
-        let is_hidden =
+        let is_out_of_scope =
             log.writes.iter().any(|write| !caller.scope.covers(&fleet.tree, &write.reader));
-        if is_hidden {
+        if is_out_of_scope {
             return api::forbidden();
         }
-        self.make(&history::undo(id, log), caller, snapshot).await
+        self.apply_change(&history::undo(id, log), caller, snapshot).await
     }
 
-    async fn make(
+    async fn apply_change(
         &self,
         request: &ChangeRequest,
         caller: Caller,
         mut snapshot: MutexGuard<'_, ConfigSnapshot>,
     ) -> BufferedResponse {
         let Caller { operator, scope } = caller;
-        let writer = ConfigWriter::new(&*self.store, operator.clone(), now()).with_scope(scope);
+        let writer =
+            ConfigWriter::new(&*self.store, operator.clone(), wall_clock()).with_scope(scope);
         match writer.change(&mut snapshot, request).await {
             Ok(version) => {
-                self.metrics.change("accepted");
+                self.metrics.count_change("accepted");
                 let id = request.id;
                 emit(Event::ChangeAccepted, format_args!("{id} by {operator}: {version}"));
                 drop(snapshot);
-                self.cut_log(version).await;
+                self.truncate_log(version).await;
                 http::json(StatusCode::OK, &Accepted { version })
             }
-            Err(error) => self.refuse(request, error),
+            Err(error) => self.change_error(request, error),
         }
     }
 
-    /// Cuts the log now and then; what fails is cut by one of the next changes.
-    async fn cut_log(&self, version: Version) {
-        if version.0 % CUT_PERIOD != 0 {
+    /// Truncates the log every [`LOG_TRUNCATION_PERIOD`] versions; after a failure a later change retries.
+    async fn truncate_log(&self, version: Version) {
+        if version.0 % LOG_TRUNCATION_PERIOD != 0 {
             return;
         }
-        if let Err(error) = history::cut(&*self.store, version, self.keep).await {
-            debug!("cutting the log: {error}");
+        if let Err(error) = history::cut(&*self.store, version, self.min_log_versions).await {
+            debug!("truncating the configuration log failed: {error}");
         }
     }
 
-    fn refuse(&self, request: &ChangeRequest, error: ChangeError) -> BufferedResponse {
+    fn change_error(&self, request: &ChangeRequest, error: ChangeError) -> BufferedResponse {
         let text = error.to_string();
         emit(Event::ChangeRefused, format_args!("{}: {text}", request.id));
         let problem = Problem { error: text, nothing_changed: true, ..Problem::default() };
@@ -132,13 +133,13 @@
                 Problem { nothing_changed: false, ..problem },
             ),
         };
-        self.metrics.change(result);
+        self.metrics.count_change(result);
         http::json(status, &problem)
     }
 }
 
-/// Returns the wall clock; it goes into the log for people and nothing is decided by it.
-fn now() -> Millis {
+/// Returns the wall-clock time, which is logged for operators only; no decision depends on it.
+fn wall_clock() -> Millis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Millis(since.as_millis() as u64)
 }
--- a/reachhead_admin/src/api/hosts.rs
+++ b/reachhead_admin/src/api/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts and pools: adding, moving, removing, and who is in charge.
+//! Endpoints to add, move and remove hosts, and to list pools with their owners.
 
 use std::collections::BTreeMap;
 
@@ -17,12 +17,12 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::api::{self, Api, Problem, read::Reader};
+use crate::api::{self, Api, Problem, read::Access};
 
-/// A host to add.
+/// Request to add a host.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NewHost {
+struct HostRequest {
     host: HostId,
     zone: ZoneName,
     rack: RackName,
@@ -31,19 +31,19 @@
     pool: PoolName,
 }
 
-/// Where a host should go; `None` takes a move back.
+/// Request to move a host to a pool; `None` cancels a move.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Want {
+struct MoveRequest {
     pool: Option<PoolName>,
 }
 
-/// A pool as the API gives it.
+/// A pool in a response.
 #[derive(Serialize)]
 struct PoolReport<'f> {
     pool: &'f PoolName,
     group: &'f GroupName,
-    /// The entry host in charge; `None` while there is none.
+    /// The entry host that owns the pool; `None` while there is none.
     owner: Option<HostId>,
     epoch: Epoch,
     serving: usize,
@@ -52,13 +52,13 @@
     arriving: usize,
 }
 
-impl Reader {
+impl Access {
     /// Returns the pools that the operator may see.
     pub fn pools(&self) -> impl Iterator<Item = &PoolName> {
         self.fleet.pools.keys().filter(|pool| self.covers_pool(pool))
     }
 
-    /// Tells whether the operator's word is enough for a pool.
+    /// Returns whether the operator's scope covers a pool.
     pub fn covers_pool(&self, pool: &PoolName) -> bool {
         match self.fleet.pools.get(pool) {
             Some(row) => self.covers(&Owner::Group(row.group.clone())),
@@ -68,50 +68,52 @@
 }
 
 impl Api {
-    /// Answers the calls under `/v1/hosts`.
-    pub(super) async fn hosts(
+    /// Handles the endpoints under `/v1/hosts`.
+    pub(super) async fn route_hosts(
         &self,
         method: &Method,
         path: &[&str],
         query: &str,
         body: &[u8],
-        reader: &Reader,
+        access: &Access,
     ) -> BufferedResponse {
         let result = match (method, path) {
-            (&Method::GET, []) => self.list_hosts(query, reader).await,
-            (&Method::POST, []) => self.add_host(body, reader).await,
-            (&Method::GET, [host]) => self.own_host(host, reader).await.map(|host| match host {
-                Some(host) => http::json(StatusCode::OK, &host),
-                None => api::forbidden(),
-            }),
-            (&Method::POST, [host, "want"]) => self.want_host(host, body, reader).await,
-            (&Method::DELETE, [host]) => self.remove_host(host, reader).await,
-            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such call")),
+            (&Method::GET, []) => self.list_hosts(query, access).await,
+            (&Method::POST, []) => self.add_host(body, access).await,
+            (&Method::GET, [host]) => {
+                self.find_permitted_host(host, access).await.map(|host| match host {
+                    Some(host) => http::json(StatusCode::OK, &host),
+                    None => api::forbidden(),
+                })
+            }
+            (&Method::POST, [host, "want"]) => self.move_host(host, body, access).await,
+            (&Method::DELETE, [host]) => self.remove_host(host, access).await,
+            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such endpoint")),
         };
-        result.unwrap_or_else(|error| refuse(&error))
+        result.unwrap_or_else(|error| error_response(&error))
     }
 
     async fn list_hosts(
         &self,
         query: &str,
-        reader: &Reader,
+        access: &Access,
     ) -> Result<BufferedResponse, HostError> {
-        let named = api::parameter(query, "pool").map(str::parse::<PoolName>);
+        let named = api::query_parameter(query, "pool").map(str::parse::<PoolName>);
         let mut found = match named {
             Some(Ok(pool)) => hosts::in_pool(&*self.store, &pool).await?,
-            Some(Err(_)) => return Ok(api::problem(StatusCode::BAD_REQUEST, "not a pool's name")),
+            Some(Err(_)) => return Ok(api::problem(StatusCode::BAD_REQUEST, "invalid pool name")),
             None => hosts::all(&*self.store).await?,
         };
-        found.retain(|host| reader.covers_pool(&host.row.pool));
+        found.retain(|host| access.covers_pool(&host.row.pool));
         Ok(http::json(StatusCode::OK, &found))
     }
 
-    async fn add_host(&self, body: &[u8], reader: &Reader) -> Result<BufferedResponse, HostError> {
-        let NewHost { host, zone, rack, resources, pool } = match serde_json::from_slice(body) {
-            Ok(new) => new,
+    async fn add_host(&self, body: &[u8], access: &Access) -> Result<BufferedResponse, HostError> {
+        let HostRequest { host, zone, rack, resources, pool } = match serde_json::from_slice(body) {
+            Ok(request) => request,
             Err(error) => return Ok(api::problem(StatusCode::BAD_REQUEST, &error.to_string())),
         };
-        if !reader.covers_pool(&pool) {
+        if !access.covers_pool(&pool) {
             return Ok(api::forbidden());
         }
         let row = HostRow::new(zone, rack, resources, pool);
@@ -119,20 +121,20 @@
         Ok(http::json(StatusCode::OK, &row))
     }
 
-    async fn want_host(
+    async fn move_host(
         &self,
         host: &str,
         body: &[u8],
-        reader: &Reader,
+        access: &Access,
     ) -> Result<BufferedResponse, HostError> {
-        let Want { pool } = match serde_json::from_slice(body) {
-            Ok(want) => want,
+        let MoveRequest { pool } = match serde_json::from_slice(body) {
+            Ok(request) => request,
             Err(error) => return Ok(api::problem(StatusCode::BAD_REQUEST, &error.to_string())),
         };
-        let Some(Host { id, .. }) = self.own_host(host, reader).await? else {
+        let Some(Host { id, .. }) = self.find_permitted_host(host, access).await? else {
             return Ok(api::forbidden());
         };
-        if pool.as_ref().is_some_and(|pool| !reader.covers_pool(pool)) {
+        if pool.as_ref().is_some_and(|pool| !access.covers_pool(pool)) {
             return Ok(api::forbidden());
         }
         let row = hosts::want(&*self.store, &id, pool.as_ref()).await?;
@@ -142,31 +144,35 @@
     async fn remove_host(
         &self,
         host: &str,
-        reader: &Reader,
+        access: &Access,
     ) -> Result<BufferedResponse, HostError> {
-        let Some(Host { id, row, .. }) = self.own_host(host, reader).await? else {
+        let Some(Host { id, row, .. }) = self.find_permitted_host(host, access).await? else {
             return Ok(api::forbidden());
         };
         hosts::remove(&*self.store, &id).await?;
         Ok(http::json(StatusCode::OK, &row))
     }
 
-    /// Returns a host whose pool the operator may change; `None` if it is another group's or absent.
-    async fn own_host(&self, host: &str, reader: &Reader) -> Result<Option<Host>, HostError> {
+    /// Returns the host if the operator's scope covers its pool; `None` if it does not or the host is absent.
+    async fn find_permitted_host(
+        &self,
+        host: &str,
+        access: &Access,
+    ) -> Result<Option<Host>, HostError> {
         let Ok(id) = host.parse::<HostId>() else {
             return Ok(None);
         };
         match hosts::find(&*self.store, &id).await {
-            Ok(host) => Ok(reader.covers_pool(&host.row.pool).then_some(host)),
-            // An operator of the whole tree may hear that it is absent.
-            Err(HostError::Missing(_)) if !reader.covers(&Owner::Tree) => Ok(None),
+            Ok(host) => Ok(access.covers_pool(&host.row.pool).then_some(host)),
+            // Only an operator with the whole tree in scope may learn that the host is absent.
+            Err(HostError::Missing(_)) if !access.covers(&Owner::Tree) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
-    /// Answers `/v1/pools`.
-    pub(super) async fn pools(&self, reader: &Reader) -> BufferedResponse {
-        match self.pool_reports(reader).await {
+    /// Handles `/v1/pools`.
+    pub(super) async fn pools(&self, access: &Access) -> BufferedResponse {
+        match self.pool_reports(access).await {
             Ok(reports) => http::json(StatusCode::OK, &reports),
             Err(error) => api::store_problem(&error),
         }
@@ -174,9 +180,9 @@
 
     async fn pool_reports<'f>(
         &self,
-        reader: &'f Reader,
+        access: &'f Access,
     ) -> Result<Vec<PoolReport<'f>>, StoreError> {
-        let pools: Vec<&PoolName> = reader.pools().collect();
+        let pools: Vec<&PoolName> = access.pools().collect();
         let leases = self.store.read(pools.iter().map(|pool| keys::lease(pool)).collect()).await?;
         let mut phases: BTreeMap<PoolName, Vec<HostPhase>> = BTreeMap::new();
         for host in hosts::all(&*self.store).await? {
@@ -184,11 +190,11 @@
         }
         let report = |(pool, lease): (&'f PoolName, _)| {
             let lease: LeaseRow = lease;
-            let of = phases.get(pool).map(Vec::as_slice).unwrap_or_default();
-            let count = |phase| of.iter().filter(|&&other| other == phase).count();
+            let hosts = phases.get(pool).map(Vec::as_slice).unwrap_or_default();
+            let count = |phase| hosts.iter().filter(|&&other| other == phase).count();
             PoolReport {
                 pool,
-                group: &reader.fleet.pools[pool].group,
+                group: &access.fleet.pools[pool].group,
                 owner: lease.owner.map(|owner| owner.host),
                 epoch: lease.epoch,
                 serving: count(HostPhase::Serving),
@@ -204,7 +210,7 @@
     }
 }
 
-fn refuse(error: &HostError) -> BufferedResponse {
+fn error_response(error: &HostError) -> BufferedResponse {
     let text = error.to_string();
     match error {
         HostError::Missing(_) | HostError::NoPool(_) => api::problem(StatusCode::NOT_FOUND, &text),
--- a/reachhead_admin/src/api/mod.rs
+++ b/reachhead_admin/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The calls of the API; docs/API.md lists them.
+//! Routing and shared responses of the API; docs/API.md lists its endpoints.
 
 mod change;
 mod hosts;
@@ -21,42 +21,42 @@
 use tokio::sync::{Mutex, MutexGuard};
 
 use crate::{
-    api::read::Reader,
-    auth::{Auth, Caller},
+    api::read::Access,
+    auth::{Authenticator, Caller},
     metrics::Metrics,
     status::StatusReader,
 };
 
-/// What the platform offers.
+/// Services of the platform that the API uses.
 pub struct Services {
-    /// Its table service.
+    /// The table service.
     pub store: Arc<dyn Store>,
-    /// Its hosts.
+    /// The service for host status.
     pub platform: Arc<dyn Platform>,
-    /// Its host list.
+    /// The host list.
     pub lister: Arc<dyn HostLister>,
 }
 
-/// The API over one store.
+/// The HTTP API for operators.
 pub struct Api {
     store: Arc<dyn Store>,
     platform: Arc<dyn Platform>,
     lister: Arc<dyn HostLister>,
-    auth: Auth,
+    auth: Authenticator,
     metrics: Metrics,
     status: StatusReader,
-    /// Versions that the log keeps.
-    keep: u64,
-    /// The rows as this process has read them; changes are checked against them in turn.
+    /// Minimum number of versions kept in the log.
+    min_log_versions: u64,
+    /// Configuration rows as last read; changes hold the lock and are validated against them one by one.
     snapshot: Mutex<ConfigSnapshot>,
 }
 
-/// The answer to a call that was not carried out.
+/// Response to a request that failed.
 #[derive(Serialize, Default)]
 struct Problem {
-    /// What happened, for people.
+    /// Description of the error, for people.
     error: String,
-    /// Whether it is certain that nothing changed.
+    /// Whether it is certain that the request changed nothing.
     nothing_changed: bool,
     #[serde(skip_serializing_if = "Vec::is_empty")]
     faults: Vec<RowFault>,
@@ -67,7 +67,7 @@
 }
 
 impl Api {
-    /// Returns the API over the platform's services.
+    /// Returns the API on top of the platform's services.
     pub fn new(
         services: Services,
         settings: &ApiSettings,
@@ -79,36 +79,36 @@
             store,
             platform,
             lister,
-            auth: Auth::new(settings),
+            auth: Authenticator::new(settings),
             metrics,
             status,
-            keep: u64::from(settings.keep.get()),
+            min_log_versions: u64::from(settings.keep.get()),
             snapshot: Mutex::new(ConfigSnapshot::new()),
         }
     }
 
-    /// Returns the version of the rows that this process has read.
+    /// Returns the configuration version last read by this process.
     pub async fn version(&self) -> Version {
         self.snapshot.lock().await.version()
     }
 
-    /// Returns the newest rows.
-    async fn follow(&self) -> Result<MutexGuard<'_, ConfigSnapshot>, StoreError> {
+    /// Reads the newest configuration and returns it locked.
+    async fn latest_snapshot(&self) -> Result<MutexGuard<'_, ConfigSnapshot>, StoreError> {
         let mut snapshot = self.snapshot.lock().await;
         config::follow(&*self.store, &mut snapshot).await?;
         Ok(snapshot)
     }
 
-    async fn answer(&self, request: BufferedRequest) -> BufferedResponse {
-        let snapshot = match self.follow().await {
+    async fn respond(&self, request: BufferedRequest) -> BufferedResponse {
+        let snapshot = match self.latest_snapshot().await {
             Ok(snapshot) => snapshot,
-            // The one token of the settings is known without the store; it then says what is down.
+            // The root token can be checked without the store, so its holder learns what is down.
             Err(error) if self.auth.is_root(&request.headers) => return store_problem(&error),
-            Err(_) => return problem(StatusCode::UNAUTHORIZED, "the token can't be checked now"),
+            Err(_) => return problem(StatusCode::UNAUTHORIZED, "can't verify token: store down"),
         };
-        match self.auth.caller(&request.headers, &snapshot) {
+        match self.auth.authenticate(&request.headers, &snapshot) {
             Some(caller) => self.route(request, caller, snapshot).await,
-            None => problem(StatusCode::UNAUTHORIZED, "a bearer token is needed"),
+            None => problem(StatusCode::UNAUTHORIZED, "missing or invalid bearer token"),
         }
     }
 
@@ -126,39 +126,43 @@
             (&Method::POST, ["v1", "undo"]) => self.undo(&request.body, caller, snapshot).await,
             (&Method::GET, ["v1", "rows"]) => read::rows(&snapshot, &request.query, &caller),
             (method, ["v1", page @ ..]) => {
-                let Some(fleet) = fleet(&snapshot) else {
-                    return faulty();
+                let Some(fleet) = parse_fleet(&snapshot) else {
+                    return invalid_configuration();
                 };
-                // The store is used without the rows, so that nobody else is kept waiting.
+                // Releases the lock, so that other requests don't wait for the store accesses below.
                 drop(snapshot);
-                let reader = Reader { caller, fleet };
+                let access = Access { caller, fleet };
                 match page {
-                    ["waves", wave @ ..] => self.waves(method, wave, &request.body, &reader).await,
+                    ["waves", wave @ ..] => {
+                        self.route_waves(method, wave, &request.body, &access).await
+                    }
                     ["hosts", host @ ..] => {
-                        self.hosts(method, host, &request.query, &request.body, &reader).await
+                        self.route_hosts(method, host, &request.query, &request.body, &access).await
+                    }
+                    page if method == Method::GET => {
+                        self.route_reads(page, &request.query, &access).await
                     }
-                    page if method == Method::GET => self.read(page, &request.query, &reader).await,
-                    _ => problem(StatusCode::NOT_FOUND, "no such call"),
+                    _ => problem(StatusCode::NOT_FOUND, "no such endpoint"),
                 }
             }
-            _ => problem(StatusCode::NOT_FOUND, "no such call"),
+            _ => problem(StatusCode::NOT_FOUND, "no such endpoint"),
         }
     }
 }
 
 impl Handler for Api {
     fn handle(&self, request: BufferedRequest) -> BoxFuture<'_, BufferedResponse> {
-        self.answer(request).boxed()
+        self.respond(request).boxed()
     }
 }
 
-/// Returns the fleet of `snapshot`; `None` if its rows have faults, which the check of changes rules out.
-fn fleet(snapshot: &ConfigSnapshot) -> Option<Fleet> {
+/// Returns the fleet of `snapshot`; `None` if its rows are invalid, which the validation of changes rules out.
+fn parse_fleet(snapshot: &ConfigSnapshot) -> Option<Fleet> {
     Fleet::from_rows(snapshot.version(), snapshot.rows()).ok()
 }
 
-fn faulty() -> BufferedResponse {
-    problem(StatusCode::INTERNAL_SERVER_ERROR, "the rows in force have faults")
+fn invalid_configuration() -> BufferedResponse {
+    problem(StatusCode::INTERNAL_SERVER_ERROR, "the configuration in force is invalid")
 }
 
 fn problem(status: StatusCode, error: &str) -> BufferedResponse {
@@ -166,7 +170,7 @@
     http::json(status, &problem)
 }
 
-/// Returns what an operator is told who may not read something, be it there or not.
+/// Returns the response for anything outside the operator's scope, whether it exists or not.
 fn forbidden() -> BufferedResponse {
     problem(StatusCode::FORBIDDEN, "outside the operator's scope")
 }
@@ -181,12 +185,12 @@
     problem(status, &error.to_string())
 }
 
-/// Returns the value of a query parameter; names and numbers need no decoding.
-fn parameter<'q>(query: &'q str, name: &str) -> Option<&'q str> {
+/// Returns the raw value of a query parameter; names and numbers need no percent-decoding.
+fn query_parameter<'q>(query: &'q str, name: &str) -> Option<&'q str> {
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Returns the version that a query names, or `default` where it names none.
-fn version_parameter(query: &str, name: &str, default: Version) -> Version {
-    parameter(query, name).and_then(|text| text.parse().ok()).unwrap_or(default)
+/// Returns the version in a query parameter, or `default` if it is absent or invalid.
+fn version_query_parameter(query: &str, name: &str, default: Version) -> Version {
+    query_parameter(query, name).and_then(|text| text.parse().ok()).unwrap_or(default)
 }
--- a/reachhead_admin/src/api/read.rs
+++ b/reachhead_admin/src/api/read.rs
@@ -1,4 +1,4 @@
-//! Reads: rows, settings in force, history, differences, status.
+//! Read endpoints: rows, effective settings, log, history, diff and status.
 
 use hyper::StatusCode;
 use reachhead_ops::http::{self, BufferedResponse};
@@ -19,7 +19,7 @@
     auth::Caller,
 };
 
-/// A configuration row as the API gives it.
+/// A configuration row in a response.
 #[derive(Serialize)]
 struct RowReport<'b> {
     key: &'b RowKey,
@@ -27,33 +27,33 @@
     version: Version,
 }
 
-/// What is in force for a group, and from where.
+/// Effective settings of a group and the groups that they come from.
 #[derive(Serialize)]
 struct EffectiveReport<'t> {
     settings: &'t Effective,
     origins: &'t Origins,
 }
 
-/// Who reads, and the fleet by which it is told what that operator may read.
-pub(super) struct Reader {
-    /// The operator.
+/// A caller and the fleet that determines what is in its scope.
+pub(super) struct Access {
+    /// The authenticated operator.
     pub caller: Caller,
     /// The newest fleet.
     pub fleet: Fleet,
 }
 
-impl Reader {
-    /// Tells whether the operator's word is enough for what `owner` owns.
+impl Access {
+    /// Returns whether the operator's scope covers what `owner` owns.
     pub fn covers(&self, owner: &Owner) -> bool {
         self.caller.scope.covers(&self.fleet.tree, owner)
     }
 }
 
 pub(super) fn rows(snapshot: &ConfigSnapshot, query: &str, caller: &Caller) -> BufferedResponse {
-    let Some(fleet) = api::fleet(snapshot) else {
-        return api::faulty();
+    let Some(fleet) = api::parse_fleet(snapshot) else {
+        return api::invalid_configuration();
     };
-    let prefix = api::parameter(query, "prefix").unwrap_or_default();
+    let prefix = api::query_parameter(query, "prefix").unwrap_or_default();
     let rows: Vec<RowReport<'_>> = snapshot
         .rows()
         .filter(|(key, _)| key.to_string().starts_with(prefix) && caller.scope.reads(&fleet, key))
@@ -62,48 +62,48 @@
     http::json(StatusCode::OK, &rows)
 }
 
-fn effective(group: &str, reader: &Reader) -> BufferedResponse {
+fn effective(group: &str, access: &Access) -> BufferedResponse {
     let Ok(group) = group.parse::<GroupName>() else {
-        return api::problem(StatusCode::BAD_REQUEST, "not a group's name");
+        return api::problem(StatusCode::BAD_REQUEST, "invalid group name");
     };
-    if !reader.covers(&Owner::Group(group.clone())) {
+    if !access.covers(&Owner::Group(group.clone())) {
         return api::forbidden();
     }
-    match reader.fleet.tree.get(&group) {
+    match access.fleet.tree.get(&group) {
         Some(node) => http::json(
             StatusCode::OK,
             &EffectiveReport { settings: &node.effective, origins: &node.origins },
         ),
-        None => api::problem(StatusCode::NOT_FOUND, "there is no such group"),
+        None => api::problem(StatusCode::NOT_FOUND, "no such group"),
     }
 }
 
 impl Api {
-    /// Answers the reads that need the store or the fleet.
-    pub(super) async fn read(
+    /// Handles the GET endpoints that need the store or the fleet.
+    pub(super) async fn route_reads(
         &self,
         page: &[&str],
         query: &str,
-        reader: &Reader,
+        access: &Access,
     ) -> BufferedResponse {
         match page {
-            ["effective", group] => effective(group, reader),
-            ["log"] => self.log(query, reader).await,
-            ["history"] => self.history(query, reader).await,
-            ["diff"] => self.diff(query, reader).await,
-            ["pools"] => self.pools(reader).await,
-            ["status"] => self.status(reader.fleet.version).await,
-            _ => api::problem(StatusCode::NOT_FOUND, "no such call"),
+            ["effective", group] => effective(group, access),
+            ["log"] => self.log(query, access).await,
+            ["history"] => self.history(query, access).await,
+            ["diff"] => self.diff(query, access).await,
+            ["pools"] => self.pools(access).await,
+            ["status"] => self.status(access.fleet.version).await,
+            _ => api::problem(StatusCode::NOT_FOUND, "no such endpoint"),
         }
     }
 
-    async fn log(&self, query: &str, reader: &Reader) -> BufferedResponse {
-        let after = api::version_parameter(query, "after", Version(0));
+    async fn log(&self, query: &str, access: &Access) -> BufferedResponse {
+        let after = api::version_query_parameter(query, "after", Version(0));
         match history::log(&*self.store, after).await {
             Ok(mut rows) => {
-                // A version of which nothing may be read stays, so that a reader can go on after it.
+                // Versions without readable writes stay in the list, so that a client can continue after them.
                 for row in &mut rows {
-                    row.writes.retain(|write| reader.covers(&write.reader));
+                    row.writes.retain(|write| access.covers(&write.reader));
                 }
                 http::json(StatusCode::OK, &rows)
             }
@@ -111,25 +111,25 @@
         }
     }
 
-    async fn history(&self, query: &str, reader: &Reader) -> BufferedResponse {
-        let Some(Ok(key)) = api::parameter(query, "key").map(str::parse::<RowKey>) else {
-            return api::problem(StatusCode::BAD_REQUEST, "key must name a row");
+    async fn history(&self, query: &str, access: &Access) -> BufferedResponse {
+        let Some(Ok(key)) = api::query_parameter(query, "key").map(str::parse::<RowKey>) else {
+            return api::problem(StatusCode::BAD_REQUEST, "the parameter key must be a row key");
         };
-        let after = api::version_parameter(query, "after", Version(0));
+        let after = api::version_query_parameter(query, "after", Version(0));
         match history::row(&*self.store, &key, after).await {
             Ok(mut events) => {
-                events.retain(|event| reader.covers(&event.reader));
+                events.retain(|event| access.covers(&event.reader));
                 http::json(StatusCode::OK, &events)
             }
             Err(error) => api::store_problem(&error),
         }
     }
 
-    async fn diff(&self, query: &str, reader: &Reader) -> BufferedResponse {
-        let from = api::version_parameter(query, "from", Version(0));
-        let to = api::version_parameter(query, "to", reader.fleet.version);
-        let may_read = |write: &LoggedWrite| reader.covers(&write.reader);
-        match history::diff(&*self.store, from, to, may_read).await {
+    async fn diff(&self, query: &str, access: &Access) -> BufferedResponse {
+        let from = api::version_query_parameter(query, "from", Version(0));
+        let to = api::version_query_parameter(query, "to", access.fleet.version);
+        let can_read = |write: &LoggedWrite| access.covers(&write.reader);
+        match history::diff(&*self.store, from, to, can_read).await {
             Ok(rows) => http::json(StatusCode::OK, &rows),
             Err(error) => api::store_problem(&error),
         }
--- a/reachhead_admin/src/api/waves.rs
+++ b/reachhead_admin/src/api/waves.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves: starting, steering, and telling what holds them.
+//! Endpoints to start, list and control maintenance waves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,24 +22,24 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::api::{self, Api, read::Reader};
+use crate::api::{self, Api, read::Access};
 
-/// A wave to start.
+/// Request to start a wave.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NewWave {
+struct WaveRequest {
     name: WaveName,
     pools: Vec<PoolName>,
 }
 
-/// A wave's new state.
+/// Request to change the state of a wave.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NewState {
+struct StateRequest {
     state: WaveState,
 }
 
-/// The wave of a pool as the API gives it.
+/// The wave of a pool in a response.
 #[derive(Serialize)]
 struct WaveReport {
     pool: PoolName,
@@ -48,123 +48,126 @@
     hosts: Vec<HostReport>,
 }
 
-/// A host in a wave.
+/// A host of a wave in a response.
 #[derive(Serialize)]
 struct HostReport {
     host: HostId,
     phase: HostPhase,
     is_done: bool,
-    /// What keeps it from going on; `None` if nothing does.
+    /// What blocks its next step; `None` if nothing does.
     hold: Option<String>,
 }
 
-/// What is known of the hosts beside their rows.
-struct Context {
-    loads: MinionPlacements,
+/// Fleet-wide data by which a host's blocker is determined.
+struct HoldContext {
+    placements: MinionPlacements,
     budgets: Budgets,
-    gone: BTreeSet<HostId>,
+    leaving: BTreeSet<HostId>,
 }
 
 impl Api {
-    /// Answers the calls under `/v1/waves`.
-    pub(super) async fn waves(
+    /// Handles the endpoints under `/v1/waves`.
+    pub(super) async fn route_waves(
         &self,
         method: &Method,
         path: &[&str],
         body: &[u8],
-        reader: &Reader,
+        access: &Access,
     ) -> BufferedResponse {
         let result = match (method, path) {
-            (&Method::GET, []) => self.show_waves(None, reader).await,
+            (&Method::GET, []) => self.show_waves(None, access).await,
             (&Method::GET, [name]) => match name.parse::<WaveName>() {
-                Ok(name) => self.show_waves(Some(&name), reader).await,
-                Err(_) => Ok(api::problem(StatusCode::BAD_REQUEST, "not a wave's name")),
+                Ok(name) => self.show_waves(Some(&name), access).await,
+                Err(_) => Ok(api::problem(StatusCode::BAD_REQUEST, "invalid wave name")),
             },
-            (&Method::POST, []) => self.start_wave(body, reader).await,
-            (&Method::POST, [name, "state"]) => self.set_wave(name, body, reader).await,
-            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such call")),
+            (&Method::POST, []) => self.start_wave(body, access).await,
+            (&Method::POST, [name, "state"]) => self.set_wave_state(name, body, access).await,
+            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such endpoint")),
         };
-        result.unwrap_or_else(|error| refuse(&error))
+        result.unwrap_or_else(|error| error_response(&error))
     }
 
     async fn start_wave(
         &self,
         body: &[u8],
-        reader: &Reader,
+        access: &Access,
     ) -> Result<BufferedResponse, WaveError> {
-        let NewWave { name, pools } = match serde_json::from_slice(body) {
-            Ok(new) => new,
+        let WaveRequest { name, pools } = match serde_json::from_slice(body) {
+            Ok(request) => request,
             Err(error) => return Ok(api::problem(StatusCode::BAD_REQUEST, &error.to_string())),
         };
-        if !pools.iter().all(|pool| reader.covers_pool(pool)) {
+        if !pools.iter().all(|pool| access.covers_pool(pool)) {
             return Ok(api::forbidden());
         }
-        if let Some(pool) = pools.iter().find(|pool| !reader.fleet.pools.contains_key(*pool)) {
+        if let Some(pool) = pools.iter().find(|pool| !access.fleet.pools.contains_key(*pool)) {
             let text = format!("there is no pool {pool}");
             return Ok(api::problem(StatusCode::NOT_FOUND, &text));
         }
         for pool in &pools {
             waves::start(&*self.store, pool, &name).await?;
         }
-        self.show_waves(Some(&name), reader).await
+        self.show_waves(Some(&name), access).await
     }
 
-    async fn set_wave(
+    async fn set_wave_state(
         &self,
         name: &str,
         body: &[u8],
-        reader: &Reader,
+        access: &Access,
     ) -> Result<BufferedResponse, WaveError> {
-        let (Ok(name), Ok(NewState { state })) =
+        let (Ok(name), Ok(StateRequest { state })) =
             (name.parse::<WaveName>(), serde_json::from_slice(body))
         else {
-            return Ok(api::problem(StatusCode::BAD_REQUEST, "a wave's name and state are needed"));
+            return Ok(api::problem(
+                StatusCode::BAD_REQUEST,
+                "expected a valid wave name and state",
+            ));
         };
-        let mut is_known = false;
-        for pool in reader.pools() {
+        let mut is_found = false;
+        for pool in access.pools() {
             let wave = waves::of_pool(&*self.store, pool).await?;
             if wave.is_some_and(|wave| wave.name == name) {
                 waves::set_state(&*self.store, pool, &name, state).await?;
-                is_known = true;
+                is_found = true;
             }
         }
-        match is_known {
-            true => self.show_waves(Some(&name), reader).await,
-            false => Ok(api::problem(StatusCode::NOT_FOUND, "there is no such wave")),
+        match is_found {
+            true => self.show_waves(Some(&name), access).await,
+            false => Ok(api::problem(StatusCode::NOT_FOUND, "no such wave")),
         }
     }
 
     async fn show_waves(
         &self,
         name: Option<&WaveName>,
-        reader: &Reader,
+        access: &Access,
     ) -> Result<BufferedResponse, WaveError> {
-        let context = self.context(reader).await?;
-        let mut shown: BTreeMap<PoolName, WaveRow> = BTreeMap::new();
-        for pool in reader.pools() {
+        let context = self.context(access).await?;
+        let mut matching: BTreeMap<PoolName, WaveRow> = BTreeMap::new();
+        for pool in access.pools() {
             let wave = waves::of_pool(&*self.store, pool).await?;
             if let Some(wave) = wave.filter(|wave| name.is_none_or(|name| *name == wave.name)) {
-                shown.insert(pool.clone(), wave);
+                matching.insert(pool.clone(), wave);
             }
         }
-        let pools: Vec<PoolName> = shown.keys().cloned().collect();
+        let pools: Vec<PoolName> = matching.keys().cloned().collect();
         let mut hosts = hosts::in_pools(&*self.store, &pools).await?;
         let mut reports = Vec::new();
-        for (pool, wave) in shown {
+        for (pool, wave) in matching {
             let hosts = hosts.remove(&pool).unwrap_or_default();
             reports.push(self.report(pool, wave, hosts, &context).await?);
         }
         Ok(http::json(StatusCode::OK, &reports))
     }
 
-    async fn context(&self, reader: &Reader) -> Result<Context, StoreError> {
-        let services: Vec<ServiceName> = reader.fleet.services.keys().cloned().collect();
+    async fn context(&self, access: &Access) -> Result<HoldContext, StoreError> {
+        let services: Vec<ServiceName> = access.fleet.services.keys().cloned().collect();
         let budgets = hosts::budgets(&*self.store, services).await?;
         let list = self.lister.list(Revision(0)).await?;
-        Ok(Context {
-            loads: MinionPlacements::new(&reader.fleet),
+        Ok(HoldContext {
+            placements: MinionPlacements::new(&access.fleet),
             budgets: budgets.into_iter().map(|budget| (budget.service, budget.row)).collect(),
-            gone: list.map(|list| LeavingHosts::from(&list).hosts).unwrap_or_default(),
+            leaving: list.map(|list| LeavingHosts::from(&list).hosts).unwrap_or_default(),
         })
     }
 
@@ -173,14 +176,14 @@
         pool: PoolName,
         wave: WaveRow,
         found: Vec<Host>,
-        context: &Context,
+        context: &HoldContext,
     ) -> Result<WaveReport, StoreError> {
         let ids = found.iter().map(|host| host.id.clone()).collect();
         let statuses = self.platform.status(ids).await?;
         let report = |(host, status): (Host, Option<HostStatus>)| HostReport {
             phase: host.row.phase,
             is_done: host.row.done.as_ref() == Some(&wave.name),
-            hold: context.hold(&host, &wave, status.as_ref()),
+            hold: context.blocker(&host, &wave, status.as_ref()),
             host: host.id,
         };
         let hosts = found.into_iter().zip(statuses).map(report).collect();
@@ -188,9 +191,9 @@
     }
 }
 
-impl Context {
-    /// Returns what keeps a host from going on in a wave.
-    fn hold(&self, host: &Host, wave: &WaveRow, status: Option<&HostStatus>) -> Option<String> {
+impl HoldContext {
+    /// Returns what blocks the next step of `host` in `wave`.
+    fn blocker(&self, host: &Host, wave: &WaveRow, status: Option<&HostStatus>) -> Option<String> {
         let Some(status) = status else {
             return Some("the platform does not know the host".to_owned());
         };
@@ -198,8 +201,8 @@
             HostPhase::Serving if !host::is_due(&host.row, wave) => None,
             HostPhase::Serving if !status.is_up => Some("the host is down".to_owned()),
             HostPhase::Serving => self
-                .loads
-                .drain_blocker(&host.id, &self.budgets, &self.gone)
+                .placements
+                .drain_blocker(&host.id, &self.budgets, &self.leaving)
                 .map(|blocker| blocker.to_string()),
             HostPhase::Draining if status.running > 0 => {
                 Some(format!("{} tasks or requests still run", status.running))
@@ -210,7 +213,7 @@
     }
 }
 
-fn refuse(error: &WaveError) -> BufferedResponse {
+fn error_response(error: &WaveError) -> BufferedResponse {
     let text = error.to_string();
     match error {
         WaveError::Missing(..) => api::problem(StatusCode::NOT_FOUND, &text),
--- a/reachhead_admin/src/auth.rs
+++ b/reachhead_admin/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who may use the API, and how far their word goes.
+//! Authentication of operators and the scope of their permissions.
 
 use hyper::{HeaderMap, header};
 use reachhead_config::admin::ApiSettings;
@@ -11,64 +11,64 @@
 };
 use serde::Deserialize;
 
-/// What stands before the token in the `Authorization` field.
-const SCHEME: &str = "Bearer ";
+/// Prefix of the token in the `Authorization` header.
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// The name under which changes with the token of the settings are logged.
-const ROOT: &str = "root";
+/// Operator name under which changes made with the token of the settings are logged.
+const ROOT_OPERATOR: &str = "root";
 
-/// Who calls.
+/// An authenticated operator.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The operator, for the log.
+    /// Name of the operator, for the log.
     pub operator: OperatorName,
-    /// How far the operator's word goes.
+    /// Part of the tree that the operator may read and change.
     pub scope: Scope,
 }
 
-/// Checks bearer tokens against salted hashes, so that neither settings nor rows hold a token.
-pub struct Auth {
+/// Checks bearer tokens against salted hashes, so that neither settings nor rows contain a token.
+pub struct Authenticator {
     salt: String,
     hash: String,
     root: OperatorName,
 }
 
-impl Auth {
-    /// Returns the check that `settings` describe.
+impl Authenticator {
+    /// Returns an authenticator with the root token of `settings`.
     ///
     /// # Panics
     ///
-    /// Never: the operator's name is a constant and a test reads it.
+    /// Never, since the root operator's name is a valid constant.
     pub fn new(settings: &ApiSettings) -> Self {
         Self {
             salt: settings.token_salt.clone(),
             hash: settings.token_hash.to_ascii_lowercase(),
-            root: ROOT.parse().expect("the operator's name is a name"),
+            root: ROOT_OPERATOR.parse().expect("the root operator's name is valid"),
         }
     }
 
-    /// Tells whether `headers` have the token of the settings, which needs no row.
+    /// Returns whether `headers` contain the root token of the settings, which needs no configuration row.
     pub fn is_root(&self, headers: &HeaderMap) -> bool {
-        bearer(headers).is_some_and(|text| token::digest(&self.salt, text) == self.hash)
+        bearer_token(headers).is_some_and(|text| token::digest(&self.salt, text) == self.hash)
     }
 
-    /// Returns who sent a request with `headers` by the operators of `snapshot`, or `None` if the token is
-    /// missing or wrong.
-    pub fn caller(&self, headers: &HeaderMap, snapshot: &ConfigSnapshot) -> Option<Caller> {
+    /// Returns the operator that sent a request with `headers`, by the operator rows of `snapshot`, or
+    /// `None` if the token is missing or invalid.
+    pub fn authenticate(&self, headers: &HeaderMap, snapshot: &ConfigSnapshot) -> Option<Caller> {
         if self.is_root(headers) {
             return Some(Caller { operator: self.root.clone(), scope: Scope::Tree });
         }
-        let text = bearer(headers)?;
+        let text = bearer_token(headers)?;
         let operator = token::operator(text)?;
         let value = snapshot.get(&RowKey::Operator(operator.clone()))?;
         let row = OperatorRow::deserialize(value).ok()?;
-        // Comparing digests tells an attacker nothing about the token, however long it takes.
-        let is_right = token::digest(&row.salt, text) == row.hash;
+        // Digests need no constant-time comparison: its duration reveals nothing about the token.
+        let is_valid = token::digest(&row.salt, text) == row.hash;
         let scope = row.group.map_or(Scope::Tree, Scope::Group);
-        is_right.then_some(Caller { operator, scope })
+        is_valid.then_some(Caller { operator, scope })
     }
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
-    headers.get(header::AUTHORIZATION)?.to_str().ok()?.strip_prefix(SCHEME)
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
+    headers.get(header::AUTHORIZATION)?.to_str().ok()?.strip_prefix(BEARER_PREFIX)
 }
--- a/reachhead_admin/src/main.rs
+++ b/reachhead_admin/src/main.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP API over the configuration.
+//! Admin process: HTTP API for operators over the configuration, hosts and maintenance waves.
 
 mod api;
 mod auth;
--- a/reachhead_admin/src/metrics.rs
+++ b/reachhead_admin/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the admin process.
+//! Metrics of the admin process.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
@@ -11,22 +11,22 @@
     result: &'static str,
 }
 
-/// Counts changes by their result.
+/// Counters of configuration changes by result.
 #[derive(Clone, Default)]
 pub struct Metrics {
     changes: Family<ResultLabels, Counter>,
 }
 
 impl Metrics {
-    /// Returns the counters, registered in `registry`.
+    /// Returns the metrics, registered in `registry`.
     pub fn new(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         registry.register("reachhead_admin_changes", "Changes by result", metrics.changes.clone());
         metrics
     }
 
-    /// Counts a change with `result`.
-    pub fn change(&self, result: &'static str) {
+    /// Counts a configuration change with `result`.
+    pub fn count_change(&self, result: &'static str) {
         self.changes.get_or_create(&ResultLabels { result }).inc();
     }
 }
--- a/reachhead_admin/src/process.rs
+++ b/reachhead_admin/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: the API on the main thread, the ops listener and the asking thread beside it.
+//! Start-up and shutdown: the API on the main thread, beside the ops listener and the status query thread.
 
 use std::{io, sync::Arc};
 
@@ -21,13 +21,13 @@
     status::StatusReader,
 };
 
-struct AdminObserved {
+struct AdminStatus {
     api: Arc<Api>,
     store: Arc<GuardedStore<HttpStore>>,
     stopping: watch::Receiver<bool>,
 }
 
-impl ProcessStatus for AdminObserved {
+impl ProcessStatus for AdminStatus {
     fn unready_reason(&self) -> Option<String> {
         if *self.stopping.borrow() {
             return Some("shutting down".to_owned());
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs the admin process until a shutdown is asked for.
+/// Runs the admin process until a shutdown signal.
 pub fn run(settings: AdminSettings) -> io::Result<()> {
     let mut registry = Registry::default();
     let metrics = Metrics::new(&mut registry);
@@ -56,8 +56,8 @@
     let api = Api::new(services, &settings.api, metrics, StatusReader::start()?);
     let api = Arc::new(api);
     let (stop, stopping) = watch::channel(false);
-    let observed = AdminObserved { api: Arc::clone(&api), store, stopping: stopping.clone() };
-    listener::start(settings.ops.address, Arc::new(observed), registry)?;
+    let status = AdminStatus { api: Arc::clone(&api), store, stopping: stopping.clone() };
+    listener::start(settings.ops.address, Arc::new(status), registry)?;
     runtime::current_thread()?.block_on(async move {
         let listener = http::listen(settings.api.address).await?;
         emit(Event::Started, format_args!("admin on {}", settings.api.address));
--- a/reachhead_admin/src/status.rs
+++ b/reachhead_admin/src/status.rs
@@ -1,4 +1,4 @@
-//! Which version is in force on which entry host.
+//! Queries which configuration version is in force on each entry host.
 
 use std::{io, net::SocketAddr, thread, time::Duration};
 
@@ -11,90 +11,91 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 
-/// Entry hosts that are asked for one report at most.
-const HOST_LIMIT: u32 = 1000;
+/// Maximum number of entry hosts queried for one status.
+const MAX_HOSTS: u32 = 1000;
 
-/// Longest wait for one host's answer.
-const ASK_TIME: Duration = Duration::from_millis(500);
+/// Timeout of a query to one host.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Questions that may wait for the asking thread.
-const RING_SIZE: usize = 64;
+/// Capacity of the queue to the query thread.
+const QUEUE_SIZE: usize = 64;
 
-/// What one entry host said.
+/// Configuration versions reported by one entry host.
 #[derive(Debug, Clone, Serialize)]
 pub struct HostStatus {
     /// The host.
     pub host: HostId,
-    /// The version of its control; `None` if it does not answer.
+    /// The version of its control process; `None` if it does not answer.
     pub control: Option<Version>,
-    /// The version of its entry process.
+    /// The version of its entry process; `None` if the control process does not answer.
     pub entry: Option<Version>,
 }
 
-/// Which version is in force where.
+/// Rollout of the newest configuration version.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
     /// The newest version.
     pub version: Version,
-    /// Entry hosts on which it is in force.
+    /// Number of entry hosts on which it is in force.
     pub in_force: usize,
     /// All entry hosts.
     pub hosts: Vec<HostStatus>,
 }
 
-struct Job {
+/// A status query and the channel for its reply.
+struct Query {
     address: SocketAddr,
     reply: oneshot::Sender<Option<ControlReply>>,
 }
 
-/// Asks entry hosts, on a thread of its own.
+/// Queries entry hosts on its own thread, since the link client blocks.
 pub struct StatusReader {
-    jobs: mpsc::Sender<Job>,
+    queries: mpsc::Sender<Query>,
 }
 
 impl StatusReader {
-    /// Starts the asking thread.
+    /// Starts the query thread.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the thread can't be started.
     pub fn start() -> io::Result<Self> {
-        let (jobs, mut ring) = mpsc::channel::<Job>(RING_SIZE);
+        let (queries, mut queue) = mpsc::channel::<Query>(QUEUE_SIZE);
         thread::Builder::new().name("asks".to_owned()).spawn(move || {
-            let mut client = LinkClient::new(ASK_TIME);
-            while let Some(Job { address, reply }) = ring.blocking_recv() {
+            let mut client = LinkClient::new(REQUEST_TIMEOUT);
+            while let Some(Query { address, reply }) = queue.blocking_recv() {
                 let _ = reply.send(client.ask(address, &ControlRequest::Status).ok());
             }
         })?;
-        Ok(Self { jobs })
+        Ok(Self { queries })
     }
 
-    /// Asks every entry host of the store's list which version it has.
+    /// Queries every entry host on the store's membership list for its version.
     ///
     /// # Errors
     ///
-    /// Fails if the list can't be read.
+    /// Fails if the membership list can't be read.
     pub async fn read(&self, store: &dyn Store, version: Version) -> Result<Status, StoreError> {
-        let scan = Scan { prefix: keys::MEMBER_PREFIX.to_owned(), after: None, limit: HOST_LIMIT };
+        let scan = Scan { prefix: keys::MEMBER_PREFIX.to_owned(), after: None, limit: MAX_HOSTS };
         let page = store.scan(scan).await?;
         let mut hosts = Vec::new();
         for row in &page.rows {
             if let Ok(member) = Member::deserialize(&row.value) {
-                hosts.push(self.ask(member).await);
+                hosts.push(self.query_host(member).await);
             }
         }
         let in_force = hosts.iter().filter(|host| host.entry >= Some(version)).count();
         Ok(Status { version, in_force, hosts })
     }
 
-    async fn ask(&self, member: Member) -> HostStatus {
-        let (reply, answer) = oneshot::channel();
-        let job = Job { address: member.control, reply };
-        let answer = match self.jobs.send(job).await {
-            Ok(()) => answer.await.ok().flatten(),
+    async fn query_host(&self, member: Member) -> HostStatus {
+        let (reply, receiver) = oneshot::channel();
+        let query = Query { address: member.control, reply };
+        let reply = match self.queries.send(query).await {
+            Ok(()) => receiver.await.ok().flatten(),
             Err(_) => None,
         };
-        match answer {
+        match reply {
             Some(ControlReply::Status(status)) => HostStatus {
                 host: member.host,
                 control: Some(status.version),
