--- a/reachhead_config/src/admin.rs
+++ b/reachhead_config/src/admin.rs
@@ -7,18 +7,18 @@
     size::Bytes,
 };
 
-use crate::section::{OpsSettings, StoreSettings, count, section};
+use crate::section::{OpsSettings, StoreSettings, nonzero, section};
 
 section! {
-    /// The operators' API.
+    /// HTTP API for operators.
     ApiSettings {
-        /// Address it listens on.
+        /// Address to listen on.
         address: SocketAddr;
-        /// Largest request body, in bytes.
+        /// Maximum size of a request body, in bytes.
         body: Bytes = Bytes(8_388_608);
-        /// Versions that the log of the configuration keeps at least; about two weeks of 13,000 changes.
-        keep: NonZeroU32 = count(200_000);
-        /// SHA-256 of the salt followed by the operators' bearer token, in base 16.
+        /// Minimum number of versions kept in the configuration log; the default is about two weeks at 13,000 changes a day.
+        keep: NonZeroU32 = nonzero(200_000);
+        /// SHA-256 of `token_salt` followed by the root bearer token, in hexadecimal.
         token_hash: String;
         /// Salt of `token_hash`.
         token_salt: String;
@@ -28,7 +28,7 @@
 section! {
     /// Settings of `reachhead-admin`.
     AdminSettings {
-        /// Always "admin".
+        /// Name of the program: "admin".
         program: String;
         /// Name of this host.
         host: HostId;
@@ -36,11 +36,11 @@
         zone: ZoneName;
     }
     sections {
-        /// The listener for operators.
+        /// HTTP listener for health, metrics and state.
         ops: OpsSettings;
-        /// The platform's table service.
+        /// Connection to the platform's table service.
         store: StoreSettings;
-        /// The operators' API.
+        /// HTTP API for operators.
         api: ApiSettings;
     }
 }
--- a/reachhead_config/src/control.rs
+++ b/reachhead_config/src/control.rs
@@ -10,71 +10,71 @@
     size::Millis,
 };
 
-use crate::section::{OpsSettings, StoreSettings, count, millis, section};
+use crate::section::{OpsSettings, StoreSettings, nonzero, nonzero_millis, section};
 
 section! {
-    /// Messages with the other processes of the system, over `nng`.
+    /// Messages between the system's processes, over `nng`.
     ControlLinkSettings {
-        /// Where this process answers its own host and its peers.
+        /// Address on which this process answers its own host and its peers.
         address: SocketAddr;
-        /// Where peers reach this process, if that is another address.
+        /// Address by which peers reach this process; by default `address`.
         advertise: Option<SocketAddr> = None;
-        /// Where the entry process of this host answers other entry hosts.
+        /// Address on which the entry process of this host answers other entry hosts.
         entry: SocketAddr;
-        /// Controls of other entry hosts to start from while the store is down.
+        /// Addresses of control processes of other entry hosts, to join through while the store is down.
         seeds: Vec<SocketAddr> = Vec::new();
-        /// Milliseconds between two rounds of gossip with a few peers.
-        gossip: NonZeroU64 = millis(1000);
+        /// Milliseconds between two gossip rounds.
+        gossip: NonZeroU64 = nonzero_millis(1000);
     }
 }
 
 section! {
-    /// Following the configuration and the list of entry hosts in the store.
+    /// Polling of the configuration and the membership list in the store.
     FollowSettings {
-        /// Milliseconds between two reads of the version by the whole fleet of entry hosts; each
-        /// host reads once in this many times the number of hosts.
-        version: NonZeroU64 = millis(250);
-        /// Milliseconds between two reads of the member rows by one host, and between its writes
-        /// of its own row, for each host of the fleet.
-        members: NonZeroU64 = millis(250);
-        /// Milliseconds between two reads of the platform's host list by the whole fleet.
-        hosts: NonZeroU64 = millis(250);
-        /// Heartbeat rounds without progress after which a member is taken for gone.
-        missed: NonZeroU32 = count(4);
+        /// Milliseconds between two reads of the version by the fleet of entry hosts as a whole; the
+        /// period of each host is this times the number of entry hosts.
+        version: NonZeroU64 = nonzero_millis(250);
+        /// Milliseconds between two heartbeats of one host, and between its reads of the member
+        /// rows, per entry host in the fleet.
+        members: NonZeroU64 = nonzero_millis(250);
+        /// Milliseconds between two reads of the platform's host list by the fleet as a whole.
+        hosts: NonZeroU64 = nonzero_millis(250);
+        /// Missed heartbeats after which a member is removed from the membership list.
+        missed: NonZeroU32 = nonzero(4);
     }
 }
 
 section! {
-    /// Cleaning up after requests that run at most once.
+    /// Cleanup of expired at-most-once claims.
     CleanSettings {
-        /// Milliseconds for which a key is remembered at least; a day by default.
-        keep: NonZeroU64 = millis(86_400_000);
+        /// Minimum time that an idempotency key is remembered, in milliseconds; a day by default.
+        keep: NonZeroU64 = nonzero_millis(86_400_000);
     }
 }
 
 section! {
-    /// Looking after pools and the hosts that move between them.
+    /// Reconciliation of pools and of hosts that move between them.
     PoolSettings {
-        /// Milliseconds between two rounds while hosts are on their way; three times that at rest.
-        round: NonZeroU64 = millis(1000);
-        /// Milliseconds for which a host must be seen drained before it counts as empty: the time in
-        /// which entry hosts hear of it, and twice the longest deadline.
+        /// Milliseconds between two rounds while hosts are moving; three times that when idle.
+        round: NonZeroU64 = nonzero_millis(1000);
+        /// Milliseconds that a host must be observed drained before it counts as empty: the time until
+        /// all entry hosts know of the drain, and twice the longest deadline.
         drain: Millis = Millis(25_000);
-        /// Milliseconds that an entry host may take to hand a pool over to another.
+        /// Timeout of the handover of a pool to another entry host, in milliseconds.
         hand_over: Millis = Millis(10_000);
-        /// Heartbeat rounds without progress after which another entry host takes a pool over.
-        missed: NonZeroU32 = count(2);
-        /// Milliseconds for which a budget must be seen overspent before a drain is taken back.
+        /// Missed heartbeats of the owner after which another entry host takes over a pool.
+        missed: NonZeroU32 = nonzero(2);
+        /// Milliseconds that a disruption budget must be observed exceeded before a drain is cancelled.
         confirm: Millis = Millis(5000);
-        /// Hosts of a pool that a wave has on their way at once, whatever the budgets allow.
-        batch: NonZeroU32 = count(8);
+        /// Maximum number of hosts of a pool that a maintenance wave processes at once, even if the budgets allow more.
+        batch: NonZeroU32 = nonzero(8);
     }
 }
 
 section! {
     /// Settings of `reachhead-control`.
     ControlSettings {
-        /// Always "control".
+        /// Name of the program: "control".
         program: String;
         /// Name of this host.
         host: HostId;
@@ -82,17 +82,17 @@
         zone: ZoneName;
     }
     sections {
-        /// The listener for operators.
+        /// HTTP listener for health, metrics and state.
         ops: OpsSettings;
-        /// The platform's table service.
+        /// Connection to the platform's table service.
         store: StoreSettings;
-        /// Messages with the system's other processes.
+        /// Messages between the system's processes.
         link: ControlLinkSettings;
-        /// What is followed in the store.
+        /// Polling of the store.
         follow: FollowSettings;
-        /// Cleaning up old claims.
+        /// Cleanup of expired claims.
         clean: CleanSettings;
-        /// Looking after pools.
+        /// Reconciliation of pools.
         pools: PoolSettings;
     }
 }
--- a/reachhead_config/src/entry.rs
+++ b/reachhead_config/src/entry.rs
@@ -10,42 +10,44 @@
     size::{Bytes, Millis},
 };
 
-use crate::section::{OpsSettings, ShutdownSettings, StoreSettings, count, millis, section};
+use crate::section::{
+    OpsSettings, ShutdownSettings, StoreSettings, nonzero, nonzero_millis, section,
+};
 
 section! {
-    /// The listener for callers and what it accepts.
+    /// Listener for callers and its limits.
     CallerSettings {
-        /// Address it listens on.
+        /// Address to listen on.
         address: SocketAddr;
-        /// Connections that are open at once; more wait in the listener's backlog.
-        connections: NonZeroU32 = count(4096);
-        /// Largest request head, in bytes; at least 8192.
+        /// Maximum number of open connections; further ones wait in the listener's backlog.
+        connections: NonZeroU32 = nonzero(4096);
+        /// Maximum size of a request head, in bytes; at least 8192.
         head: Bytes = Bytes(16_384);
-        /// Most header fields of a request.
-        fields: NonZeroU32 = count(100);
-        /// Longest time that a head may take to arrive, in milliseconds.
-        head_time: NonZeroU64 = millis(10_000);
-        /// Largest request body, in bytes.
+        /// Maximum number of header fields of a request.
+        fields: NonZeroU32 = nonzero(100);
+        /// Timeout for receiving a request head, in milliseconds.
+        head_time: NonZeroU64 = nonzero_millis(10_000);
+        /// Maximum size of a request body, in bytes.
         body: Bytes = Bytes(1_048_576);
-        /// Longest time that a body may take to arrive, in milliseconds.
-        body_time: NonZeroU64 = millis(15_000);
-        /// Longest time for which a caller may take nothing of its answer, in milliseconds.
-        stall_time: NonZeroU64 = millis(15_000);
+        /// Timeout for receiving a request body, in milliseconds.
+        body_time: NonZeroU64 = nonzero_millis(15_000);
+        /// Maximum time without progress while sending an answer to a caller, in milliseconds.
+        stall_time: NonZeroU64 = nonzero_millis(15_000);
     }
 }
 
 section! {
-    /// How minions are called.
+    /// Requests to minions.
     MinionSettings {
-        /// Longest time to connect, in milliseconds.
-        connect_time: NonZeroU64 = millis(1000);
-        /// Answers up to this many bytes are held until they are whole, so that they can be retried.
+        /// Timeout for connecting to a minion, in milliseconds.
+        connect_time: NonZeroU64 = nonzero_millis(1000);
+        /// Answers up to this many bytes are buffered until complete, so that a failed request can be retried.
         whole: Bytes = Bytes(65_536);
-        /// Milliseconds that an idle connection is kept.
+        /// Milliseconds that an idle connection is kept open.
         idle_time: Millis = Millis(30_000);
-        /// Sends of one request at most, the first included.
-        sends: NonZeroU32 = count(3);
-        /// Whether slots are borrowed from other entry hosts when requests wait here.
+        /// Maximum number of times that a request is sent, including the first.
+        sends: NonZeroU32 = nonzero(3);
+        /// Whether to borrow slots from other entry hosts while requests are queued here.
         loans: bool = true;
     }
 }
@@ -53,35 +55,35 @@
 section! {
     /// At-most-once claims in the store.
     ClaimSettings {
-        /// Milliseconds between two store writes for claims; what arrives meanwhile shares the next.
+        /// Milliseconds between two store writes for claims; claims that arrive meanwhile are batched.
         linger: Millis = Millis(20);
-        /// Claims and records in one store write at most.
-        batch: NonZeroU32 = count(256);
-        /// Claims that wait for the store at most; more get `store-down`.
-        queue: NonZeroU32 = count(1024);
-        /// Milliseconds that a finished answer is kept for replay in this process.
+        /// Maximum number of claims and records in one store write.
+        batch: NonZeroU32 = nonzero(256);
+        /// Maximum number of claims that wait for the store; further requests fail with `store-down`.
+        queue: NonZeroU32 = nonzero(1024);
+        /// Milliseconds that this process keeps a completed answer for replay.
         keep: Millis = Millis(600_000);
-        /// Longest wait for a claim's owner to answer, in milliseconds.
-        ask_time: NonZeroU64 = millis(500);
+        /// Timeout of a query to the owner of a claim, in milliseconds.
+        ask_time: NonZeroU64 = nonzero_millis(500);
     }
 }
 
 section! {
-    /// Messages with the other processes of the system, over `nng`.
+    /// Messages between the system's processes, over `nng`.
     EntryLinkSettings {
-        /// Where the control of this host answers.
+        /// Address of this host's control process.
         control: SocketAddr;
-        /// Where this process answers the other entry hosts.
+        /// Address on which this process answers other entry hosts.
         ask: SocketAddr;
-        /// Milliseconds between two looks for a newer configuration.
-        period: NonZeroU64 = millis(250);
+        /// Milliseconds between two polls for a newer configuration.
+        period: NonZeroU64 = nonzero_millis(250);
     }
 }
 
 section! {
     /// Settings of `reachhead-entry`.
     EntrySettings {
-        /// Always "entry".
+        /// Name of the program: "entry".
         program: String;
         /// Name of this host.
         host: HostId;
@@ -89,19 +91,19 @@
         zone: ZoneName;
     }
     sections {
-        /// The listener for operators.
+        /// HTTP listener for health, metrics and state.
         ops: OpsSettings;
-        /// The platform's table service.
+        /// Connection to the platform's table service.
         store: StoreSettings;
-        /// The listener for callers.
+        /// Listener for callers.
         callers: CallerSettings;
-        /// How minions are called.
+        /// Requests to minions.
         minions: MinionSettings;
         /// At-most-once claims.
         claims: ClaimSettings;
-        /// Messages with the system's other processes.
+        /// Messages between the system's processes.
         link: EntryLinkSettings;
-        /// The graceful shutdown.
+        /// Graceful shutdown.
         shutdown: ShutdownSettings;
     }
 }
--- a/reachhead_config/src/fault.rs
+++ b/reachhead_config/src/fault.rs
@@ -1,15 +1,15 @@
-//! Faults of a settings file, as `miette` shows them.
+//! Errors in a settings file, as `miette` diagnostics.
 
 use std::io;
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use thiserror::Error;
 
-/// One fault and its place in the file.
+/// An error in a settings file and its span.
 #[derive(Debug, Error, Diagnostic)]
 #[error("{text}")]
 pub struct Fault {
-    /// What is wrong, with the path of the field.
+    /// Error message, including the path of the field.
     pub text: String,
     #[label("here")]
     span: SourceSpan,
@@ -18,31 +18,31 @@
 }
 
 impl Fault {
-    /// Makes a fault at the bytes `start..end` of the file `name` with `text`.
+    /// Returns an error with message `text` at the bytes `start..end` of the file `name` with `content`.
     pub fn new(name: &str, content: &str, start: usize, end: usize, text: String) -> Self {
         let file = NamedSource::new(name, content.to_owned());
         Self { text, span: (start, end - start).into(), file }
     }
 }
 
-/// Why settings could not be read.
+/// Error of reading a settings file.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
-    /// The file itself can't be read.
+    /// The file can't be read.
     #[error("can't read {path}")]
     Unreadable {
-        /// The file's path as it was given.
+        /// The file's path as given.
         path: String,
-        /// What the system said.
+        /// The system's error.
         #[source]
         source: io::Error,
     },
-    /// The file has faults; each is shown with its place.
+    /// The file has errors; each is shown with its source snippet.
     #[error("{name} has {} fault(s)", faults.len())]
     Faulty {
         /// The file's name.
         name: String,
-        /// Every fault, in the order of the fields.
+        /// All errors, in the order in which the fields are read.
         #[related]
         faults: Vec<Fault>,
     },
--- a/reachhead_config/src/fleet.rs
+++ b/reachhead_config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet file that `reachhead apply` turns into configuration rows.
+//! Fleet file, which `reachhead apply` turns into configuration rows.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 
 use crate::{
     ObjectReader, Section,
-    reader::{Member, Place},
+    reader::{ObjectMember, Span},
     section::Field,
 };
 
-/// The sections of a fleet file and the row kind of each.
-const KINDS: [(&str, &str); 6] = [
+/// Sections of a fleet file, each with the kind of its rows.
+const SECTION_KINDS: [(&str, &str); 6] = [
     ("groups", "group"),
     ("pools", "pool"),
     ("services", "service"),
@@ -24,7 +24,7 @@
     ("operators", "operator"),
 ];
 
-/// Configuration rows, checked together.
+/// Configuration rows, validated as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct FleetFile {
     /// The rows by key.
@@ -47,21 +47,21 @@
     fn read(reader: &mut ObjectReader<'_, '_>) -> Option<Self> {
         reader.field::<String>("program", None)?;
         let mut file = Self::default();
-        let mut places: BTreeMap<RowKey, Place> = BTreeMap::new();
-        for (section, kind) in KINDS {
-            for Member { name, value, place } in reader.members(section) {
+        let mut spans: BTreeMap<RowKey, Span> = BTreeMap::new();
+        for (section, kind) in SECTION_KINDS {
+            for ObjectMember { name, value, span } in reader.members(section) {
                 match format!("{kind}/{name}").parse::<RowKey>() {
                     Ok(key) => {
-                        places.insert(key.clone(), place);
+                        spans.insert(key.clone(), span);
                         file.rows.insert(key, value);
                     }
-                    Err(error) => reader.fault_at(place, format!("{section}.{name}: {error}")),
+                    Err(error) => reader.add_fault_at(span, format!("{section}.{name}: {error}")),
                 }
             }
         }
         if let Err(faults) = Fleet::from_rows(Version::default(), &file.rows) {
             for fault in faults {
-                reader.fault_at(places[&fault.key], fault.to_string());
+                reader.add_fault_at(spans[&fault.key], fault.to_string());
             }
         }
         reader.finish();
--- a/reachhead_config/src/lib.rs
+++ b/reachhead_config/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings files: JSON with comments, read into typed sections, every fault shown at its place.
+//! Settings files: JSON with comments, read into typed sections, with all errors reported with their spans.
 //!
-//! The programs and `reachhead check` use the same code, so a file that passes the check starts.
+//! The programs and `reachhead check` use the same code, so a program accepts any file that passes the check.
 
 pub mod admin;
 pub mod control;
@@ -17,7 +17,7 @@
 };
 pub use crate::{fault::SettingsError, reader::ObjectReader, section::Section};
 
-/// A settings file of any program, told apart by its field `program`.
+/// Settings of any program, identified by the field `program`.
 #[derive(Debug, Clone)]
 pub enum AnySettings {
     /// Settings of `reachhead-entry`.
@@ -34,34 +34,37 @@
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read or has any fault; all faults are reported together.
+/// Fails if the file can't be read or has errors, which are reported together.
 pub fn load<S: Section>(program: &str, path: &Path) -> Result<S, SettingsError> {
     let text = read_text(path)?;
     reader::read_root(&path.display().to_string(), &text, |root| {
-        let named = root.peek_text("program")?;
-        if named != program {
-            root.fault("program", &format!("these are settings of {named}, not of {program}"));
+        let found = root.peek_string("program")?;
+        if found != program {
+            root.add_fault(
+                "program",
+                &format!("expected settings of {program}, found settings of {found}"),
+            );
             return None;
         }
         S::read(root)
     })
 }
 
-/// Reads a settings file of whichever program it names in its field `program`.
+/// Reads the settings file at `path` for the program named in its field `program`.
 ///
 /// # Errors
 ///
-/// As [`load`]; a missing or unknown program is a fault too.
+/// As [`load`]; a missing or unknown program is an error too.
 pub fn load_any(path: &Path) -> Result<AnySettings, SettingsError> {
     let text = read_text(path)?;
     let name = path.display().to_string();
-    reader::read_root(&name, &text, |root| match root.peek_text("program")?.as_str() {
+    reader::read_root(&name, &text, |root| match root.peek_string("program")?.as_str() {
         "entry" => EntrySettings::read(root).map(AnySettings::Entry),
         "control" => ControlSettings::read(root).map(AnySettings::Control),
         "admin" => AdminSettings::read(root).map(AnySettings::Admin),
         "fleet" => FleetFile::read(root).map(AnySettings::Fleet),
         _ => {
-            root.fault("program", "expected one of entry, control, admin, fleet");
+            root.add_fault("program", "expected one of entry, control, admin, fleet");
             None
         }
     })
--- a/reachhead_config/src/reader.rs
+++ b/reachhead_config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads typed fields from a parsed file and collects faults instead of stopping at the first.
+//! Reader of typed fields that collects all errors instead of stopping at the first.
 
 use jsonc_parser::{
     CollectOptions, ParseOptions,
@@ -13,7 +13,7 @@
     fault::{Fault, SettingsError},
 };
 
-/// JSON with comments and nothing looser, so that other tools read the files too.
+/// JSON with comments and trailing commas and no other extension, so that common tools can read the files.
 const SYNTAX: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -27,52 +27,55 @@
     allow_extended_string_escapes: false,
 };
 
-/// The file that is being read and the faults found so far.
-struct File<'t> {
+/// A settings file and the errors found so far.
+struct SettingsFile<'t> {
     name: &'t str,
     text: &'t str,
     faults: Vec<Fault>,
 }
 
-impl File<'_> {
-    fn fault(&mut self, range: Range, text: String) {
+impl SettingsFile<'_> {
+    fn add_fault(&mut self, range: Range, text: String) {
         self.faults.push(Fault::new(self.name, self.text, range.start, range.end, text));
     }
 }
 
-/// One object of the file; fields are taken from it by name.
+/// Reads the fields of one object in the file by name.
 pub struct ObjectReader<'r, 't> {
-    file: &'r mut File<'t>,
+    file: &'r mut SettingsFile<'t>,
+    /// Path of the object in the file, ending in a dot unless it is empty.
     path: String,
     range: Range,
     fields: Vec<&'r ObjectProp<'t>>,
-    known: Vec<&'static str>,
+    /// Names of the fields read so far.
+    known_names: Vec<&'static str>,
 }
 
-/// One member of an object whose names are free, for rows that are checked elsewhere.
+/// A member of an object with arbitrary names, whose value is validated elsewhere.
 #[derive(Debug, Clone)]
-pub struct Member {
+pub struct ObjectMember {
     /// The member's name.
     pub name: String,
     /// Its value as JSON.
     pub value: serde_json::Value,
-    /// Where it stands in the file.
-    pub place: Place,
+    /// Its span in the file.
+    pub span: Span,
 }
 
-/// A piece of the file, in bytes.
+/// A range of bytes in the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct Span {
     start: usize,
     end: usize,
 }
 
+/// Parses `text` of the file `name` and reads its root object with `read`.
 pub(crate) fn read_root<S>(
     name: &str,
     text: &str,
     read: impl FnOnce(&mut ObjectReader<'_, '_>) -> Option<S>,
 ) -> Result<S, SettingsError> {
-    let mut file = File { name, text, faults: Vec::new() };
+    let mut file = SettingsFile { name, text, faults: Vec::new() };
     let settings = match parse_to_ast(text, &CollectOptions::default(), &SYNTAX) {
         Ok(parsed) => match parsed.value {
             Some(Value::Object(object)) => {
@@ -81,12 +84,12 @@
             }
             _ => {
                 let range = Range { start: 0, end: text.len() };
-                file.fault(range, "expected an object".to_owned());
+                file.add_fault(range, "expected an object".to_owned());
                 None
             }
         },
         Err(error) => {
-            file.fault(error.range(), error.kind().to_string());
+            file.add_fault(error.range(), error.kind().to_string());
             None
         }
     };
@@ -97,35 +100,36 @@
 }
 
 impl<'r, 't> ObjectReader<'r, 't> {
-    fn new(file: &'r mut File<'t>, path: String, object: &'r Object<'t>) -> Self {
+    fn new(file: &'r mut SettingsFile<'t>, path: String, object: &'r Object<'t>) -> Self {
         let fields = unique_fields(file, &path, object);
-        Self { file, path, range: object.range, fields, known: Vec::new() }
+        Self { file, path, range: object.range, fields, known_names: Vec::new() }
     }
 
-    /// Takes the field `name`, or `default` where the file has none; no default makes it required.
+    /// Reads the field `name`, or returns `default` if it is absent; a field without default is required.
     pub fn field<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
         default: Option<T>,
     ) -> Option<T> {
-        self.known.push(name);
+        self.known_names.push(name);
         let Some(field) = self.find(name) else {
             if default.is_none() {
-                self.missing(name);
+                self.add_missing_fault(name);
             }
             return default;
         };
         self.convert(name, &field.value)
     }
 
-    /// Takes the section `name`; an absent section is read as an empty one.
+    /// Reads the section `name`; an absent section is read as an empty one.
     pub fn section<S: Section>(&mut self, name: &'static str) -> Option<S> {
-        self.known.push(name);
+        self.known_names.push(name);
         let path = format!("{}{name}.", self.path);
         match self.find(name).map(|field| &field.value) {
             Some(Value::Object(object)) => S::read(&mut ObjectReader::new(self.file, path, object)),
             Some(value) => {
-                self.file.fault(value.range(), format!("{}{name}: expected an object", self.path));
+                self.file
+                    .add_fault(value.range(), format!("{}{name}: expected an object", self.path));
                 None
             }
             None => {
@@ -135,64 +139,64 @@
         }
     }
 
-    /// Takes the members of the object `name` as JSON, each with its place.
-    pub fn members(&mut self, name: &'static str) -> Vec<Member> {
-        self.known.push(name);
+    /// Reads the members of the object `name` as JSON, each with its span.
+    pub fn members(&mut self, name: &'static str) -> Vec<ObjectMember> {
+        self.known_names.push(name);
         let object = match self.find(name).map(|field| &field.value) {
             Some(Value::Object(object)) => object,
             Some(value) => {
-                self.file.fault(value.range(), format!("{name}: expected an object"));
+                self.file.add_fault(value.range(), format!("{name}: expected an object"));
                 return Vec::new();
             }
             None => return Vec::new(),
         };
         let mut members = Vec::new();
         for field in unique_fields(self.file, &format!("{name}."), object) {
-            let place = Place { start: field.range.start, end: field.range.end };
+            let span = Span { start: field.range.start, end: field.range.end };
             if let Some(value) = self.convert(name, &field.value) {
-                members.push(Member { name: field.name.as_str().to_owned(), value, place });
+                members.push(ObjectMember { name: field.name.as_str().to_owned(), value, span });
             }
         }
         members
     }
 
-    /// Reports a fault at a place that [`ObjectReader::members`] gave.
-    pub fn fault_at(&mut self, place: Place, text: String) {
-        self.file.fault(Range { start: place.start, end: place.end }, text);
+    /// Reports an error at the span of a member from [`ObjectReader::members`].
+    pub fn add_fault_at(&mut self, span: Span, text: String) {
+        self.file.add_fault(Range { start: span.start, end: span.end }, text);
     }
 
-    /// Reports a fault of the field `name`, or of the whole object where it is absent.
-    pub fn fault(&mut self, name: &str, text: &str) {
+    /// Reports an error at the field `name`, or at the whole object if the field is absent.
+    pub fn add_fault(&mut self, name: &str, text: &str) {
         let range = self.find(name).map_or(self.range, |field| field.value.range());
-        self.file.fault(range, format!("{}{name}: {text}", self.path));
+        self.file.add_fault(range, format!("{}{name}: {text}", self.path));
     }
 
-    /// Looks at the text of the field `name` without taking it.
-    pub fn peek_text(&mut self, name: &'static str) -> Option<String> {
+    /// Returns the string field `name` without marking it as read.
+    pub fn peek_string(&mut self, name: &'static str) -> Option<String> {
         match self.find(name).map(|field| &field.value) {
             Some(Value::StringLit(text)) => Some(text.value.to_string()),
             Some(_) => {
-                self.fault(name, "expected a string");
+                self.add_fault(name, "expected a string");
                 None
             }
             None => {
-                self.missing(name);
+                self.add_missing_fault(name);
                 None
             }
         }
     }
 
-    /// Reports every field that was not taken; to be called once all fields are.
+    /// Reports every field that was not read; must be called after all reads.
     pub fn finish(&mut self) {
         for field in std::mem::take(&mut self.fields) {
             let name = field.name.as_str();
-            if !self.known.contains(&name) {
-                let known = self.known.join(", ");
-                let text = format!("{}{name}: no such setting; here are {known}", self.path);
-                // The label belongs under the name, which ends where its quotes do.
+            if !self.known_names.contains(&name) {
+                let names = self.known_names.join(", ");
+                let text = format!("{}{name}: no such setting; expected one of {names}", self.path);
+                // The span covers the name including its quotes.
                 let end = field.range.start + name.len() + 2;
                 let range = Range { start: field.range.start, end: end.min(field.range.end) };
-                self.file.fault(range, text);
+                self.file.add_fault(range, text);
             }
         }
     }
@@ -201,35 +205,35 @@
         self.fields.iter().find(|field| field.name.as_str() == name).copied()
     }
 
-    fn missing(&mut self, name: &str) {
+    fn add_missing_fault(&mut self, name: &str) {
         let text = format!("{}{name} is missing and has no default", self.path);
-        self.file.fault(self.range, text);
+        self.file.add_fault(self.range, text);
     }
 
     fn convert<T: DeserializeOwned>(&mut self, name: &str, value: &Value<'_>) -> Option<T> {
         let range = value.range();
-        // The library converts text only, so the value's own piece of the file is parsed again.
+        // The library converts only text to `serde_json`, so the value's source text is parsed again.
         let text = &self.file.text[range.start..range.end];
         let json: serde_json::Value = match parse_to_serde_value(text, &SYNTAX) {
             Ok(json) => json,
             Err(error) => {
-                self.file.fault(range, format!("{}{name}: {error}", self.path));
+                self.file.add_fault(range, format!("{}{name}: {error}", self.path));
                 return None;
             }
         };
         match T::deserialize(json) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.file.fault(range, format!("{}{name}: {error}", self.path));
+                self.file.add_fault(range, format!("{}{name}: {error}", self.path));
                 None
             }
         }
     }
 }
 
-/// Returns the fields of `object`, reporting each name that is given twice.
+/// Returns the fields of `object` and reports duplicate names.
 fn unique_fields<'r, 't>(
-    file: &mut File<'_>,
+    file: &mut SettingsFile<'_>,
     path: &str,
     object: &'r Object<'t>,
 ) -> Vec<&'r ObjectProp<'t>> {
@@ -237,7 +241,7 @@
     for field in &object.properties {
         let name = field.name.as_str();
         if fields.iter().any(|seen| seen.name.as_str() == name) {
-            file.fault(field.range, format!("{path}{name} is given twice"));
+            file.add_fault(field.range, format!("{path}{name} is given twice"));
             continue;
         }
         fields.push(field);
--- a/reachhead_config/src/section.rs
+++ b/reachhead_config/src/section.rs
@@ -1,4 +1,4 @@
-//! Declares sections: struct, defaults, reader and documentation from one list of fields.
+//! Declaration of settings sections: struct, defaults, reader and documentation from one list of fields.
 
 use std::{
     net::SocketAddr,
@@ -9,39 +9,39 @@
 
 use crate::ObjectReader;
 
-/// Returns a default that is not zero.
-pub(crate) const fn count(number: u32) -> NonZeroU32 {
+/// Returns `number` as the default of a setting that must not be zero.
+pub(crate) const fn nonzero(number: u32) -> NonZeroU32 {
     NonZeroU32::new(number).expect("defaults are not zero")
 }
 
-/// Returns a default in milliseconds that is not zero.
-pub(crate) const fn millis(number: u64) -> NonZeroU64 {
+/// Returns `number` as the default of a setting in milliseconds that must not be zero.
+pub(crate) const fn nonzero_millis(number: u64) -> NonZeroU64 {
     NonZeroU64::new(number).expect("defaults are not zero")
 }
 
 /// A section of a settings file.
 pub trait Section: Sized {
-    /// Its fields, for documentation.
+    /// Fields of the section, for documentation.
     const FIELDS: &'static [Field];
 
-    /// Reads the section; `None` means that faults were reported.
+    /// Reads the section; `None` means that errors were reported to `reader`.
     fn read(reader: &mut ObjectReader<'_, '_>) -> Option<Self>;
 }
 
-/// One field of a section, as `reachhead check --explain` prints it.
+/// Documentation of a field, printed by `reachhead check --explain`.
 #[derive(Debug, Clone, Copy)]
 pub struct Field {
     /// The field's name.
     pub name: &'static str,
-    /// What it means.
+    /// The field's doc comment.
     pub doc: &'static str,
-    /// Its default as Rust writes it; empty where the field is required.
+    /// The default as a Rust expression; empty if the field is required.
     pub default: &'static str,
-    /// The fields of a section; empty for a value.
+    /// The fields of a subsection; empty for a value.
     pub fields: &'static [Field],
 }
 
-/// Declares a [`Section`]: first its values, with a default or required, then its subsections.
+/// Declares a [`Section`]: first its values, each with a default or required, then its subsections.
 macro_rules! section {
     (
         $(#[doc = $doc:literal])* $name:ident {
@@ -87,6 +87,7 @@
     };
 }
 
+/// Expands to `Some(default)`, or to `None` for a required field.
 macro_rules! default_of {
     () => {
         None
@@ -100,31 +101,31 @@
 pub(crate) use section;
 
 section! {
-    /// The ops listener: `/live`, `/ready`, `/metrics`, `/state`.
+    /// HTTP listener for operators: `/live`, `/ready`, `/metrics`, `/state`.
     OpsSettings {
-        /// Address it listens on.
+        /// Address to listen on.
         address: SocketAddr;
     }
 }
 
 section! {
-    /// How the platform's table service is reached.
+    /// Connection to the platform's table service.
     StoreSettings {
         /// Address of the table service.
         address: SocketAddr;
-        /// Longest wait for an answer, in milliseconds.
+        /// Timeout of a call, in milliseconds.
         deadline: Millis = Millis(1000);
-        /// Calls a second that this process makes at most.
-        rate: NonZeroU32 = count(100);
+        /// Maximum number of calls per second by this process.
+        rate: NonZeroU32 = nonzero(100);
     }
 }
 
 section! {
-    /// A graceful shutdown.
+    /// Graceful shutdown.
     ShutdownSettings {
-        /// Milliseconds between "not ready" and closing the listener: the balancer's lag.
+        /// Milliseconds between reporting "not ready" and closing the listener: the load balancer's reaction time.
         lag: Millis = Millis(2000);
-        /// Milliseconds that requests in flight get before the process gives up on them.
+        /// Milliseconds that requests in flight may take to complete before the process aborts them.
         limit: Millis = Millis(30_000);
     }
 }
