--- a/reachhead_admin/src/main.rs
+++ b/reachhead_admin/src/main.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP API over the configuration.
+//! Admin process: HTTP API for operators over the configuration, hosts and maintenance waves.
 
 mod api;
 mod auth;
@@ -11,5 +11,5 @@
 use reachhead_ops::cli;
 
 fn main() -> ExitCode {
-    cli::daemon("admin", process::run)
+    cli::run_daemon("admin", process::run)
 }
--- a/reachhead_entry/src/connection/accept.rs
+++ b/reachhead_entry/src/connection/accept.rs
@@ -74,7 +74,7 @@
     loop {
         let is_below_limit = connections.count.get() < limit;
         tokio::select! {
-            () = runtime::stopped(&mut stop) => break,
+            () = runtime::wait_for_stop(&mut stop) => break,
             accepted = listener.accept(), if is_below_limit => match accepted {
                 Ok((stream, _)) => {
                     let guard = ConnectionGuard::new(&connections);
--- a/reachhead_entry/src/process/mod.rs
+++ b/reachhead_entry/src/process/mod.rs
@@ -62,7 +62,7 @@
     let claim_writer = claim_writer::start(&settings)?;
     let peer_client = peer_client::start(&settings)?;
 
-    let runtime = runtime::single()?;
+    let runtime = runtime::current_thread()?;
     let proxy = Proxy::new(settings, incarnation, metrics, claim_writer, peer_client, readiness);
     LocalSet::new().block_on(&runtime, run_path(proxy, updates, path_requests))?;
     Ok(())
--- a/reachhead_ops/src/lib.rs
+++ b/reachhead_ops/src/lib.rs
@@ -1,8 +1,8 @@
-//! What every long-lived process shares: command line, events, ops listener, signals, threads.
+//! Infrastructure shared by all processes: command line, HTTP, log events, ops listener, runtime and signals.
 
-pub mod bounded;
 pub mod cli;
 pub mod client;
+pub mod deadline;
 pub mod event;
 pub mod http;
 pub mod latency;
