--- a/reachhead/src/args/hosts.rs
+++ b/reachhead/src/args/hosts.rs
@@ -1,4 +1,4 @@
-//! Words of `reachhead host`, `reachhead pool` and `reachhead wave`.
+//! Arguments of `reachhead host`, `reachhead pool` and `reachhead wave`.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
     size::{Accelerators, Cores, Gibibytes},
 };
 
-/// Hosts and the pools that they are in.
+/// Manage hosts and the pools that they belong to.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "host")]
 pub struct HostArgs {
@@ -33,7 +33,7 @@
     Remove(RemoveHostArgs),
 }
 
-/// Add a host to a pool; the same again changes nothing.
+/// Add a host to a pool; repeating the command changes nothing.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 pub struct AddHostArgs {
@@ -70,16 +70,16 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub struct ListHostArgs {
-    /// only those of this pool
+    /// print only the hosts of this pool
     #[argh(option)]
     pub pool: Option<PoolName>,
 }
 
-/// Move a host: it is drained, waited for until it is empty, and handed over.
+/// Move a host to another pool: it is drained until it is empty, then handed over.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "move")]
 pub struct MoveHostArgs {
-    /// host
+    /// name of the host
     #[argh(positional)]
     pub host: HostId,
 
@@ -87,25 +87,25 @@
     #[argh(option)]
     pub to: Option<PoolName>,
 
-    /// take a move back, as far as it was not done
+    /// cancel a move that is not complete
     #[argh(switch)]
     pub cancel: bool,
 
-    /// wait until it serves there, at most this many seconds
+    /// wait until the host serves in the new pool, at most this many seconds
     #[argh(option, default = "0")]
     pub wait: u64,
 }
 
-/// Forget a host that is not on its way.
+/// Remove a host that is serving and not being moved.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub struct RemoveHostArgs {
-    /// host
+    /// name of the host
     #[argh(positional)]
     pub host: HostId,
 }
 
-/// Pools and who is in charge of them.
+/// Show pools and their owners.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "pool")]
 pub struct PoolArgs {
@@ -132,7 +132,7 @@
 #[argh(subcommand, name = "list")]
 pub struct ListPoolArgs {}
 
-/// Maintenance waves.
+/// Manage maintenance waves.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wave")]
 pub struct WaveArgs {
@@ -159,7 +159,7 @@
     Show(ShowWaveArgs),
 }
 
-/// Drain and reboot every host of one or more pools, inside every availability budget.
+/// Drain and reboot every host of one or more pools, within the availability budgets of services.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "start")]
 pub struct StartWaveArgs {
@@ -167,7 +167,7 @@
     #[argh(positional)]
     pub name: WaveName,
 
-    /// pool; may be given several times
+    /// pool; can be repeated
     #[argh(option)]
     pub pool: Vec<PoolName>,
 
@@ -176,7 +176,7 @@
     pub wait: u64,
 }
 
-/// Begin nothing new; what is under way is finished.
+/// Pause a wave: hosts in progress are finished, no others are started.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "pause")]
 pub struct PauseWaveArgs {
@@ -185,7 +185,7 @@
     pub name: WaveName,
 }
 
-/// Go on with a wave that was paused.
+/// Resume a paused wave.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "resume")]
 pub struct ResumeWaveArgs {
@@ -194,7 +194,7 @@
     pub name: WaveName,
 }
 
-/// Begin nothing new and take back the drains that are not done.
+/// Cancel a wave: no more hosts are started, and unfinished drains are cancelled.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cancel")]
 pub struct CancelWaveArgs {
@@ -203,7 +203,7 @@
     pub name: WaveName,
 }
 
-/// Print each host of a wave and what holds it.
+/// Print each host of a wave and what holds it back.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub struct ShowWaveArgs {
@@ -216,7 +216,7 @@
     pub wait: u64,
 }
 
-/// Print the wave of each pool.
+/// Print the waves of all pools.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub struct ListWaveArgs {}
--- a/reachhead/src/args/mod.rs
+++ b/reachhead/src/args/mod.rs
@@ -1,4 +1,4 @@
-//! The command line's words.
+//! Command-line arguments.
 
 mod hosts;
 mod settings;
@@ -10,7 +10,7 @@
 
 use argh::FromArgs;
 
-/// Operators' command line of reachhead. Exit codes: 1 failed, 2 usage, 3 faults in settings.
+/// Command line for operators of reachhead. Exit codes: 1 failure, 2 usage error, 3 invalid settings.
 #[derive(FromArgs)]
 pub struct Args {
     #[argh(subcommand)]
@@ -43,7 +43,7 @@
     pub explain: Option<String>,
 }
 
-/// Print the state of a process.
+/// Print the state, metrics or health of a process.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "dump")]
 pub struct DumpArgs {
@@ -51,12 +51,12 @@
     #[argh(positional)]
     pub address: SocketAddr,
 
-    /// what to print: state (default), metrics, ready or live
+    /// page to print: state (default), metrics, ready or live
     #[argh(option, default = "String::from(\"state\")")]
     pub page: String,
 }
 
-/// Bring the configuration in line with a fleet file.
+/// Change the configuration rows that differ from a fleet file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyArgs {
@@ -64,11 +64,11 @@
     #[argh(positional)]
     pub file: PathBuf,
 
-    /// delete rows that the file does not have
+    /// delete rows that are not in the file
     #[argh(switch)]
     pub prune: bool,
 
-    /// print what would change and change nothing
+    /// print the changes without making them
     #[argh(switch)]
     pub dry_run: bool,
 
--- a/reachhead/src/args/settings.rs
+++ b/reachhead/src/args/settings.rs
@@ -1,4 +1,4 @@
-//! Words of `reachhead settings` and `reachhead operator`.
+//! Arguments of `reachhead settings` and `reachhead operator`.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
     size::Version,
 };
 
-/// Read and change the tree of settings, one row at a time.
+/// Read and change the configuration, one row at a time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settings")]
 pub struct SettingsArgs {
@@ -42,7 +42,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 pub struct GetArgs {
-    /// what the keys start with, as in group/ or minion/check-in/
+    /// prefix of the keys, such as group/ or minion/check-in/
     #[argh(positional, default = "String::new()")]
     pub prefix: String,
 }
@@ -51,19 +51,19 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "set")]
 pub struct SetArgs {
-    /// key, as in group/do-mayor
+    /// key of the row, such as group/do-mayor
     #[argh(positional)]
     pub key: RowKey,
 
-    /// value in JSON
+    /// value as JSON
     #[argh(positional)]
     pub value: String,
 
-    /// version that the row was seen at, 0 for a new row; refuse if it changed since
+    /// version that the row must still have, 0 for a new row; refused if it has changed
     #[argh(option)]
     pub expected: Option<Version>,
 
-    /// id of the change; give the same one again after a lost answer
+    /// id of the change; repeat the same id to retry after a lost response
     #[argh(option)]
     pub id: Option<ChangeId>,
 }
@@ -72,20 +72,20 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "delete")]
 pub struct DeleteArgs {
-    /// key, as in minion/check-in/m1
+    /// key of the row, such as minion/check-in/m1
     #[argh(positional)]
     pub key: RowKey,
 
-    /// version that the row was seen at; refuse if it changed since
+    /// version that the row must still have; refused if it has changed
     #[argh(option)]
     pub expected: Option<Version>,
 
-    /// id of the change; give the same one again after a lost answer
+    /// id of the change; repeat the same id to retry after a lost response
     #[argh(option)]
     pub id: Option<ChangeId>,
 }
 
-/// Print what is in force for a group and where it comes from.
+/// Print the effective settings of a group and where each one comes from.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "effective")]
 pub struct EffectiveArgs {
@@ -94,15 +94,15 @@
     pub group: GroupName,
 }
 
-/// Print who changed what.
+/// Print the log of changes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "log")]
 pub struct LogArgs {
-    /// start after this version
+    /// print only changes after this version
     #[argh(option, default = "Version(0)")]
     pub after: Version,
 
-    /// only the writes of this row, with their values
+    /// print only the writes to this row, with their values
     #[argh(option)]
     pub key: Option<RowKey>,
 }
@@ -120,7 +120,7 @@
     pub to: Option<Version>,
 }
 
-/// Undo a version by a new change; refused if one of its rows was written since.
+/// Undo the change of a version by a new change; refused if one of its rows was written since.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "undo")]
 pub struct UndoArgs {
@@ -128,7 +128,7 @@
     #[argh(positional)]
     pub version: Version,
 
-    /// id of the change; give the same one again after a lost answer
+    /// id of the change; repeat the same id to retry after a lost response
     #[argh(option)]
     pub id: Option<ChangeId>,
 }
@@ -137,12 +137,12 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
-    /// wait until it is in force on all, at most this many seconds
+    /// wait until it is in force on all of them, at most this many seconds
     #[argh(option, default = "0")]
     pub wait: u64,
 }
 
-/// Operators and their tokens.
+/// Manage operators and their tokens.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "operator")]
 pub struct OperatorArgs {
@@ -162,7 +162,7 @@
     Remove(RemoveOperatorArgs),
 }
 
-/// Make an operator, or a new token for one, and print the token; it is shown only this once.
+/// Add an operator or replace its token, and print the token; it is shown only once.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 pub struct AddOperatorArgs {
@@ -170,7 +170,7 @@
     #[argh(positional)]
     pub name: OperatorName,
 
-    /// group whose subtree the operator works in; the whole tree by default
+    /// group whose subtree the operator has access to; the whole tree by default
     #[argh(option)]
     pub group: Option<GroupName>,
 }
@@ -180,7 +180,7 @@
 #[argh(subcommand, name = "list")]
 pub struct ListOperatorArgs {}
 
-/// Remove an operator; its token is worth nothing from then on.
+/// Remove an operator; its token becomes invalid.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub struct RemoveOperatorArgs {
--- a/reachhead/src/client.rs
+++ b/reachhead/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the admin's API and of ops listeners.
+//! HTTP client for the admin API and for ops listeners.
 
 use std::{env, net::SocketAddr, time::Duration};
 
@@ -10,43 +10,43 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, time};
 
-/// Longest wait for an answer; a change may be tried again by the admin meanwhile.
-const CALL_TIME: Duration = Duration::from_secs(30);
+/// Timeout of one call; leaves the admin time to retry a change on its side.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The variable that holds the address of an admin.
-const ADMIN_VARIABLE: &str = "REACHHEAD_ADMIN";
+/// Environment variable with the address of an admin.
+const ADMIN_ENV: &str = "REACHHEAD_ADMIN";
 
-/// The variable that holds the operator's token; a command line would show it to everyone.
-const TOKEN_VARIABLE: &str = "REACHHEAD_TOKEN";
+/// Environment variable with the operator's token; a flag would show it in the process list.
+const TOKEN_ENV: &str = "REACHHEAD_TOKEN";
 
-/// Why a call gave no answer.
+/// Error of a call.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No address was given.
-    #[error("no admin is named: give --admin or set {ADMIN_VARIABLE}")]
+    /// No admin address was given.
+    #[error("no address of an admin: give --admin or set {ADMIN_ENV}")]
     NoAdmin,
-    /// The process can't be reached.
-    #[error("can't reach {address}: {text}")]
+    /// The connection failed or broke, or the call timed out.
+    #[error("can't reach {address}: {reason}")]
     Unreachable {
-        /// Its address.
+        /// Address of the process.
         address: SocketAddr,
-        /// What went wrong.
-        text: String,
+        /// Cause in words.
+        reason: String,
     },
-    /// The process said no.
-    #[error("{status}: {text}")]
+    /// The process answered with a status other than 200.
+    #[error("{status}: {message}")]
     Refused {
-        /// The status.
+        /// Status of the response.
         status: StatusCode,
-        /// What it said.
-        text: String,
+        /// Body of the response.
+        message: String,
     },
-    /// The answer can't be read.
-    #[error("the answer can't be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
+    /// The request or the response is not valid JSON.
+    #[error("invalid JSON: {0}")]
+    Json(#[from] serde_json::Error),
 }
 
-/// Calls one process.
+/// Client of one process; opens a connection for each call.
 pub struct Client {
     address: SocketAddr,
     token: Option<String>,
@@ -58,72 +58,72 @@
         Self { address, token: None }
     }
 
-    /// Returns a client of the admin at `address`, or of the one that the environment names.
+    /// Returns a client of the admin at `address`, or else at the address in the environment.
     ///
     /// # Errors
     ///
-    /// Fails if neither names an admin.
-    pub fn with_admin(address: Option<SocketAddr>) -> Result<Self, CallError> {
-        let named = || env::var(ADMIN_VARIABLE).ok()?.parse().ok();
-        let address = address.or_else(named).ok_or(CallError::NoAdmin)?;
-        Ok(Self { address, token: env::var(TOKEN_VARIABLE).ok() })
+    /// Fails if neither gives an address.
+    pub fn for_admin(address: Option<SocketAddr>) -> Result<Self, CallError> {
+        let from_env = || env::var(ADMIN_ENV).ok()?.parse().ok();
+        let address = address.or_else(from_env).ok_or(CallError::NoAdmin)?;
+        Ok(Self { address, token: env::var(TOKEN_ENV).ok() })
     }
 
-    /// Gets `path` and reads its JSON.
+    /// Sends a GET request for `path` and decodes the JSON response.
     ///
     /// # Errors
     ///
     /// Any [`CallError`].
-    pub async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, CallError> {
+    pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CallError> {
         let body = self.call(Method::GET, path, Bytes::new()).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Gets `path` as text.
+    /// Sends a GET request for `path` and returns the body as text.
     ///
     /// # Errors
     ///
     /// Any [`CallError`].
-    pub async fn text(&self, path: &str) -> Result<String, CallError> {
+    pub async fn get_text(&self, path: &str) -> Result<String, CallError> {
         let body = self.call(Method::GET, path, Bytes::new()).await?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Posts `question` to `path` and reads the JSON of the answer.
+    /// Posts `request` as JSON to `path` and decodes the JSON response.
     ///
     /// # Errors
     ///
     /// Any [`CallError`].
-    pub async fn post<Q: Serialize, A: DeserializeOwned>(
+    pub async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
-        question: &Q,
-    ) -> Result<A, CallError> {
-        let body = Bytes::from(serde_json::to_vec(question)?);
+        request: &B,
+    ) -> Result<T, CallError> {
+        let body = Bytes::from(serde_json::to_vec(request)?);
         let body = self.call(Method::POST, path, body).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Deletes `path` and reads the JSON of the answer.
+    /// Sends a DELETE request for `path` and decodes the JSON response.
     ///
     /// # Errors
     ///
     /// Any [`CallError`].
-    pub async fn delete<A: DeserializeOwned>(&self, path: &str) -> Result<A, CallError> {
+    pub async fn delete<T: DeserializeOwned>(&self, path: &str) -> Result<T, CallError> {
         let body = self.call(Method::DELETE, path, Bytes::new()).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Bytes, CallError> {
-        let unreachable = |text: String| CallError::Unreachable { address: self.address, text };
-        match time::timeout(CALL_TIME, self.exchange(method, path, body)).await {
-            Ok(Ok(Reply { status: StatusCode::OK, body })) => Ok(body),
-            Ok(Ok(Reply { status, body })) => Err(CallError::Refused {
+        let unreachable = |reason: String| CallError::Unreachable { address: self.address, reason };
+        match time::timeout(CALL_TIMEOUT, self.exchange(method, path, body)).await {
+            Ok(Ok(Response { status: StatusCode::OK, body })) => Ok(body),
+            Ok(Ok(Response { status, body })) => Err(CallError::Refused {
                 status,
-                text: String::from_utf8_lossy(&body).trim().to_owned(),
+                message: String::from_utf8_lossy(&body).trim().to_owned(),
             }),
             Ok(Err(error)) => Err(unreachable(error.to_string())),
-            Err(_) => Err(unreachable("no answer in time".to_owned())),
+            Err(_) => Err(unreachable("timed out".to_owned())),
         }
     }
 
@@ -132,7 +132,7 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Reply, Box<dyn std::error::Error>> {
+    ) -> Result<Response, Box<dyn std::error::Error>> {
         let stream = TcpStream::connect(self.address).await?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(connection);
@@ -146,11 +146,11 @@
         let response = sender.send_request(request.body(Full::new(body))?).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
-        Ok(Reply { status, body })
+        Ok(Response { status, body })
     }
 }
 
-struct Reply {
+struct Response {
     status: StatusCode,
     body: Bytes,
 }
--- a/reachhead/src/command/apply.rs
+++ b/reachhead/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `reachhead apply`.
+//! `reachhead apply`: brings the configuration in line with a fleet file.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +13,15 @@
     print,
 };
 
-/// Writes the rows of a fleet file that differ from those in force, as one change.
+/// Writes the rows of a fleet file that differ from the current configuration, as one change.
 pub async fn run(args: &ApplyArgs) -> Result<(), CommandError> {
     let AnySettings::Fleet(file) = reachhead_config::load_any(&args.file)? else {
         let text = format!("{} is not a fleet file", args.file.display());
-        return Err(CommandError::Kind(text));
+        return Err(CommandError::InvalidInput(text));
     };
-    let client = Client::with_admin(args.admin)?;
-    let rows = command::rows(&client, "").await?;
-    let writes = differences(&file, rows, args.prune);
+    let client = Client::for_admin(args.admin)?;
+    let rows = command::fetch_rows(&client, "").await?;
+    let writes = diff_writes(&file, rows, args.prune);
     for write in &writes {
         let verb = if write.value.is_some() { "set" } else { "delete" };
         print::line(&format!("{verb} {}", write.key));
@@ -33,30 +33,30 @@
     if args.dry_run {
         return Ok(());
     }
-    let version = command::change(&client, None, writes).await?;
+    let version = command::submit_change(&client, None, writes).await?;
     print::line(&format!("accepted as version {version}"));
     Ok(())
 }
 
-/// Returns the writes that lead from `rows` to `file`, each bound to the version that was seen.
-fn differences(file: &FleetFile, rows: Vec<RowReport>, prune: bool) -> Vec<RowWrite> {
-    let mut seen: BTreeMap<RowKey, RowReport> =
+/// Returns the writes that turn `rows` into `file`, each conditional on the version that was read.
+fn diff_writes(file: &FleetFile, rows: Vec<RowReport>, prune: bool) -> Vec<RowWrite> {
+    let mut current: BTreeMap<RowKey, RowReport> =
         rows.into_iter().map(|row| (row.key.clone(), row)).collect();
     let mut writes = Vec::new();
     for (key, value) in &file.rows {
-        let before = seen.remove(key);
-        if before.as_ref().is_some_and(|row| row.value == *value) {
+        let existing = current.remove(key);
+        if existing.as_ref().is_some_and(|row| row.value == *value) {
             continue;
         }
-        let expected = before.map_or(Version(0), |row| row.version);
-        writes.push(write(key, Some(value.clone()), expected));
+        let expected = existing.map_or(Version(0), |row| row.version);
+        writes.push(conditional_write(key, Some(value.clone()), expected));
     }
     if prune {
-        writes.extend(seen.values().map(|row| write(&row.key, None, row.version)));
+        writes.extend(current.values().map(|row| conditional_write(&row.key, None, row.version)));
     }
     writes
 }
 
-fn write(key: &RowKey, value: Option<Value>, expected: Version) -> RowWrite {
+fn conditional_write(key: &RowKey, value: Option<Value>, expected: Version) -> RowWrite {
     RowWrite { key: key.clone(), value, expected: Some(expected) }
 }
--- a/reachhead/src/command/history.rs
+++ b/reachhead/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `reachhead settings log`, `diff` and `undo`.
+//! `reachhead settings log`, `diff` and `undo`: the history of the configuration.
 
 use reachhead_types::{
     fleet::RowKey,
@@ -11,15 +11,15 @@
 use crate::{
     args::{DiffArgs, LogArgs, UndoArgs},
     client::Client,
-    command::{Accepted, CommandError},
+    command::{AcceptedChange, CommandError},
     print,
 };
 
-/// What stands for a row that is not there.
+/// Table cell for a row that does not exist.
 const ABSENT: &str = "-";
 
 #[derive(Deserialize, Serialize)]
-struct LogRow {
+struct LogEntry {
     version: Version,
     id: ChangeId,
     operator: OperatorName,
@@ -28,7 +28,7 @@
 }
 
 #[derive(Deserialize, Serialize)]
-struct RowEvent {
+struct RowRevision {
     version: Version,
     id: ChangeId,
     operator: OperatorName,
@@ -45,25 +45,25 @@
 }
 
 #[derive(Serialize)]
-struct Undo {
+struct UndoRequest {
     id: ChangeId,
     version: Version,
 }
 
-/// Prints the changes after a version, or the writes of one row.
-pub async fn log(client: &Client, args: &LogArgs, json: bool) -> Result<(), CommandError> {
+/// Prints the changes after a version, or only the writes to one row.
+pub async fn print_log(client: &Client, args: &LogArgs, json: bool) -> Result<(), CommandError> {
     match &args.key {
-        Some(key) => row(client, key, args.after, json).await,
-        None => all(client, args.after, json).await,
+        Some(key) => print_row_history(client, key, args.after, json).await,
+        None => print_changes(client, args.after, json).await,
     }
 }
 
-async fn all(client: &Client, after: Version, json: bool) -> Result<(), CommandError> {
-    let rows: Vec<LogRow> = client.get(&format!("/v1/log?after={after}")).await?;
+async fn print_changes(client: &Client, after: Version, json: bool) -> Result<(), CommandError> {
+    let rows: Vec<LogEntry> = client.get(&format!("/v1/log?after={after}")).await?;
     if json {
         return print::json(&rows);
     }
-    let mut lines = vec![print::head(&["VERSION", "CHANGE", "BY", "AT (ms)", "ROWS"])];
+    let mut lines = vec![print::header(&["VERSION", "CHANGE", "BY", "AT (ms)", "ROWS"])];
     for row in rows {
         let keys = row.writes.iter().filter_map(|write| write["key"].as_str());
         lines.push(vec![
@@ -78,24 +78,25 @@
     Ok(())
 }
 
-async fn row(
+async fn print_row_history(
     client: &Client,
     key: &RowKey,
     after: Version,
     json: bool,
 ) -> Result<(), CommandError> {
-    let events: Vec<RowEvent> = client.get(&format!("/v1/history?key={key}&after={after}")).await?;
+    let revisions: Vec<RowRevision> =
+        client.get(&format!("/v1/history?key={key}&after={after}")).await?;
     if json {
-        return print::json(&events);
+        return print::json(&revisions);
     }
-    let mut lines = vec![print::head(&["VERSION", "BY", "AT (ms)", "BEFORE", "AFTER"])];
-    for event in events {
+    let mut lines = vec![print::header(&["VERSION", "BY", "AT (ms)", "BEFORE", "AFTER"])];
+    for revision in revisions {
         lines.push(vec![
-            event.version.to_string(),
-            event.operator.to_string(),
-            event.at.to_string(),
-            text(event.before.as_ref()),
-            text(event.value.as_ref()),
+            revision.version.to_string(),
+            revision.operator.to_string(),
+            revision.at.to_string(),
+            format_cell(revision.before.as_ref()),
+            format_cell(revision.value.as_ref()),
         ]);
     }
     print::table(&lines);
@@ -103,32 +104,36 @@
 }
 
 /// Prints the rows that differ between two versions.
-pub async fn diff(client: &Client, args: &DiffArgs, json: bool) -> Result<(), CommandError> {
+pub async fn print_diff(client: &Client, args: &DiffArgs, json: bool) -> Result<(), CommandError> {
     let to = args.to.map(|to| format!("&to={to}")).unwrap_or_default();
     let rows: Vec<RowDiff> = client.get(&format!("/v1/diff?from={}{to}", args.from)).await?;
     if json {
         return print::json(&rows);
     }
-    let mut lines = vec![print::head(&["KEY", "BEFORE", "AFTER"])];
+    let mut lines = vec![print::header(&["KEY", "BEFORE", "AFTER"])];
     for row in rows {
-        lines.push(vec![row.key.to_string(), text(row.before.as_ref()), text(row.after.as_ref())]);
+        lines.push(vec![
+            row.key.to_string(),
+            format_cell(row.before.as_ref()),
+            format_cell(row.after.as_ref()),
+        ]);
     }
     print::table(&lines);
     Ok(())
 }
 
-/// Undoes a version by a new change.
+/// Undoes a version by a new change that restores the values before it.
 pub async fn undo(client: &Client, args: &UndoArgs) -> Result<(), CommandError> {
     let id = args.id.unwrap_or_else(|| ChangeId(rand::random()));
-    let undo = Undo { id, version: args.version };
-    let accepted: Accepted = client
-        .post("/v1/undo", &undo)
+    let request = UndoRequest { id, version: args.version };
+    let accepted: AcceptedChange = client
+        .post("/v1/undo", &request)
         .await
         .map_err(|source| CommandError::Change { id, source })?;
     print::line(&format!("accepted as version {}", accepted.version));
     Ok(())
 }
 
-fn text(value: Option<&Value>) -> String {
+fn format_cell(value: Option<&Value>) -> String {
     value.map_or(ABSENT.to_owned(), Value::to_string)
 }
--- a/reachhead/src/command/host.rs
+++ b/reachhead/src/command/host.rs
@@ -1,4 +1,4 @@
-//! `reachhead host` and `reachhead pool`.
+//! `reachhead host` and `reachhead pool`: hosts, their moves between pools, and pool owners.
 
 use std::time::{Duration, Instant};
 
@@ -17,11 +17,11 @@
     print,
 };
 
-/// Pause between two looks while waiting.
-const WAIT_STEP: Duration = Duration::from_millis(500);
+/// Pause between two polls of a host that is being moved.
+const POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// What stands for nothing in a table.
-const NOTHING: &str = "-";
+/// Table cell without a value.
+const EMPTY_CELL: &str = "-";
 
 #[derive(Deserialize, Serialize)]
 struct Host {
@@ -41,39 +41,39 @@
     arriving: usize,
 }
 
-/// Runs a command on hosts.
+/// Runs a subcommand of `reachhead host`.
 pub async fn run(args: &HostArgs) -> Result<(), CommandError> {
-    let client = Client::with_admin(args.admin)?;
+    let client = Client::for_admin(args.admin)?;
     match &args.command {
-        HostCommand::Add(add) => make(&client, add).await,
+        HostCommand::Add(add) => add_host(&client, add).await,
         HostCommand::List(list) => {
-            let hosts = read(&client, list.pool.as_ref()).await?;
+            let hosts = fetch_hosts(&client, list.pool.as_ref()).await?;
             print_hosts(&hosts, args.json)
         }
-        HostCommand::Move(to) => relocate(&client, to).await,
+        HostCommand::Move(target) => move_host(&client, target).await,
         HostCommand::Remove(remove) => {
             let _: HostRow = client.delete(&format!("/v1/hosts/{}", remove.host)).await?;
-            print::line(&format!("host {} is forgotten", remove.host));
+            print::line(&format!("host {} is removed", remove.host));
             Ok(())
         }
     }
 }
 
-/// Runs a command on pools.
-pub async fn pools(args: &PoolArgs) -> Result<(), CommandError> {
+/// Runs a subcommand of `reachhead pool`.
+pub async fn run_pool(args: &PoolArgs) -> Result<(), CommandError> {
     let PoolCommand::List(_) = &args.command;
-    let pools: Vec<Pool> = Client::with_admin(args.admin)?.get("/v1/pools").await?;
+    let pools: Vec<Pool> = Client::for_admin(args.admin)?.get("/v1/pools").await?;
     if args.json {
         return print::json(&pools);
     }
-    let head =
+    let names =
         ["POOL", "GROUP", "IN CHARGE", "EPOCH", "SERVING", "DRAINING", "REBOOTING", "ARRIVING"];
-    let mut lines = vec![print::head(&head)];
+    let mut lines = vec![print::header(&names)];
     for pool in pools {
         lines.push(vec![
             pool.pool.to_string(),
             pool.group,
-            pool.owner.map_or(NOTHING.to_owned(), |owner| owner.to_string()),
+            pool.owner.map_or(EMPTY_CELL.to_owned(), |owner| owner.to_string()),
             pool.epoch.to_string(),
             pool.serving.to_string(),
             pool.draining.to_string(),
@@ -85,19 +85,19 @@
     Ok(())
 }
 
-async fn make(client: &Client, args: &AddHostArgs) -> Result<(), CommandError> {
+async fn add_host(client: &Client, args: &AddHostArgs) -> Result<(), CommandError> {
     let AddHostArgs { host, pool, zone, rack, .. } = args;
     let resources =
         Resources { cores: args.cores, memory: args.memory, accelerators: args.accelerators };
-    let new = json!({
+    let request = json!({
         "host": host, "pool": pool, "zone": zone, "rack": rack, "resources": resources,
     });
-    let _: HostRow = client.post("/v1/hosts", &new).await?;
+    let _: HostRow = client.post("/v1/hosts", &request).await?;
     print::line(&format!("host {host} is in pool {pool}"));
     Ok(())
 }
 
-async fn read(client: &Client, pool: Option<&PoolName>) -> Result<Vec<Host>, CommandError> {
+async fn fetch_hosts(client: &Client, pool: Option<&PoolName>) -> Result<Vec<Host>, CommandError> {
     let query = pool.map(|pool| format!("?pool={pool}")).unwrap_or_default();
     Ok(client.get(&format!("/v1/hosts{query}")).await?)
 }
@@ -106,14 +106,14 @@
     if json {
         return print::json(&hosts);
     }
-    let head = ["HOST", "POOL", "PHASE", "TO", "ZONE", "RACK", "CORES", "MEMORY", "ACCELERATORS"];
-    let mut lines = vec![print::head(&head)];
+    let names = ["HOST", "POOL", "PHASE", "TO", "ZONE", "RACK", "CORES", "MEMORY", "ACCELERATORS"];
+    let mut lines = vec![print::header(&names)];
     for Host { id, row } in hosts {
         lines.push(vec![
             id.to_string(),
             row.pool.to_string(),
             row.phase.to_string(),
-            row.want.as_ref().map_or(NOTHING.to_owned(), ToString::to_string),
+            row.want.as_ref().map_or(EMPTY_CELL.to_owned(), ToString::to_string),
             row.zone.to_string(),
             row.rack.to_string(),
             row.resources.cores.to_string(),
@@ -125,28 +125,28 @@
     Ok(())
 }
 
-async fn relocate(client: &Client, args: &MoveHostArgs) -> Result<(), CommandError> {
-    let want: Value = match (&args.to, args.cancel) {
+async fn move_host(client: &Client, args: &MoveHostArgs) -> Result<(), CommandError> {
+    let request: Value = match (&args.to, args.cancel) {
         (Some(pool), false) => json!({ "pool": pool }),
         (None, true) => json!({ "pool": null }),
         _ => {
-            let text = "give --to or --cancel, one of the two".to_owned();
-            return Err(CommandError::Kind(text));
+            let message = "give either --to or --cancel".to_owned();
+            return Err(CommandError::InvalidInput(message));
         }
     };
-    let mut row: HostRow = client.post(&format!("/v1/hosts/{}/want", args.host), &want).await?;
-    let limit = Instant::now() + Duration::from_secs(args.wait);
+    let mut row: HostRow = client.post(&format!("/v1/hosts/{}/want", args.host), &request).await?;
+    let deadline = Instant::now() + Duration::from_secs(args.wait);
     loop {
-        let to = row.want.as_ref().map(|to| format!(", to {to}")).unwrap_or_default();
-        print::line(&format!("{}: {} in {}{to}", args.host, row.phase, row.pool));
+        let target = row.want.as_ref().map(|pool| format!(", to {pool}")).unwrap_or_default();
+        print::line(&format!("{}: {} in {}{target}", args.host, row.phase, row.pool));
         let is_done = row.phase == HostPhase::Serving && row.want.is_none();
         if is_done || args.wait == 0 {
             return Ok(());
         }
-        if Instant::now() >= limit {
-            return Err(CommandError::Late);
+        if Instant::now() >= deadline {
+            return Err(CommandError::TimedOut);
         }
-        time::sleep(WAIT_STEP).await;
+        time::sleep(POLL_PERIOD).await;
         row = client.get::<Host>(&format!("/v1/hosts/{}", args.host)).await?.row;
     }
 }
--- a/reachhead/src/command/mod.rs
+++ b/reachhead/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! Implementation of the subcommands, and the calls and errors that they share.
 
 pub mod apply;
 pub mod check;
@@ -17,45 +17,45 @@
 
 use crate::client::{CallError, Client};
 
-/// Path of changes.
+/// API path that accepts changes of the configuration.
 const CHANGES_PATH: &str = "/v1/changes";
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// A settings file has faults.
+    /// A settings file is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A call failed.
+    /// A call to the admin or to an ops listener failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// A value on the command line is not JSON.
-    #[error("the value is not JSON: {0}")]
-    Value(#[from] serde_json::Error),
-    /// The file is not of the kind that the command needs.
+    /// A value is not valid JSON.
+    #[error("invalid JSON value: {0}")]
+    Json(#[from] serde_json::Error),
+    /// A file, an argument or a combination of arguments is not valid for the command.
     #[error("{0}")]
-    Kind(String),
-    /// What was waited for did not come in time.
-    #[error("not done in time")]
-    Late,
-    /// A change may have been made.
-    #[error("{source}; if in doubt, repeat it with --id {id}")]
+    InvalidInput(String),
+    /// The awaited state was not reached within `--wait` seconds.
+    #[error("timed out: not done within the time of --wait")]
+    TimedOut,
+    /// A change failed, or its response was lost and it may have been made.
+    #[error("{source}; if in doubt, retry it with --id {id}")]
     Change {
-        /// The change.
+        /// Idempotency key of the change.
         id: ChangeId,
-        /// What went wrong.
+        /// Error of the call.
         source: CallError,
     },
 }
 
-/// One write of a change, as the API takes it.
+/// Write to one row within a change, as the API expects it.
 #[derive(Serialize)]
 pub struct RowWrite {
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// Its new value; `None` deletes it.
+    /// New value; `None` deletes the row.
     pub value: Option<Value>,
-    /// The version that it was seen at.
+    /// Version that the row must still have; `None` writes unconditionally.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub expected: Option<Version>,
 }
@@ -67,35 +67,33 @@
 }
 
 #[derive(Deserialize)]
-struct Accepted {
+struct AcceptedChange {
     version: Version,
 }
 
-/// Makes a change and returns its version.
-async fn change(
+/// Submits `writes` as one atomic change and returns its version; a missing `id` is drawn at random.
+async fn submit_change(
     client: &Client,
     id: Option<ChangeId>,
     writes: Vec<RowWrite>,
 ) -> Result<Version, CommandError> {
     let id = id.unwrap_or_else(|| ChangeId(rand::random()));
     let change = Change { id, writes };
-    match client.post::<_, Accepted>(CHANGES_PATH, &change).await {
+    match client.post::<_, AcceptedChange>(CHANGES_PATH, &change).await {
         Ok(accepted) => Ok(accepted.version),
         Err(source) => Err(CommandError::Change { id, source }),
     }
 }
 
-/// A row as the API gives it.
+/// Configuration row as the API returns it.
 #[derive(Deserialize, Serialize)]
 pub struct RowReport {
-    /// Its key.
     pub key: RowKey,
-    /// Its value.
     pub value: Value,
-    /// The version that wrote it.
+    /// Version of the change that last wrote the row.
     pub version: Version,
 }
 
-async fn rows(client: &Client, prefix: &str) -> Result<Vec<RowReport>, CommandError> {
+async fn fetch_rows(client: &Client, prefix: &str) -> Result<Vec<RowReport>, CommandError> {
     Ok(client.get(&format!("/v1/rows?prefix={prefix}")).await?)
 }
--- a/reachhead/src/command/operator.rs
+++ b/reachhead/src/command/operator.rs
@@ -1,4 +1,4 @@
-//! `reachhead operator`.
+//! `reachhead operator`: operators and their tokens.
 
 use reachhead_types::{
     fleet::{OperatorRow, RowKey},
@@ -13,41 +13,42 @@
     print,
 };
 
-/// Runs a command on operators.
+/// Runs a subcommand of `reachhead operator`.
 pub async fn run(args: &OperatorArgs) -> Result<(), CommandError> {
-    let client = Client::with_admin(args.admin)?;
+    let client = Client::for_admin(args.admin)?;
     match &args.command {
-        OperatorCommand::Add(add) => make(&client, add).await,
-        OperatorCommand::List(_) => list(&client).await,
+        OperatorCommand::Add(add) => add_operator(&client, add).await,
+        OperatorCommand::List(_) => print_operators(&client).await,
         OperatorCommand::Remove(remove) => {
             let key = RowKey::Operator(remove.name.clone());
-            write(&client, RowWrite { key, value: None, expected: None }).await
+            submit_write(&client, RowWrite { key, value: None, expected: None }).await
         }
     }
 }
 
-async fn make(client: &Client, args: &AddOperatorArgs) -> Result<(), CommandError> {
+async fn add_operator(client: &Client, args: &AddOperatorArgs) -> Result<(), CommandError> {
     let name = &args.name;
     let token = format!("{name}{TOKEN_SEPARATOR}{:032x}", rand::random::<u128>());
     let salt = format!("{:016x}", rand::random::<u64>());
     let hash = token::digest(&salt, &token);
     let row = OperatorRow { group: args.group.clone(), salt, hash };
     let value = Some(serde_json::to_value(row)?);
-    write(client, RowWrite { key: RowKey::Operator(name.clone()), value, expected: None }).await?;
+    submit_write(client, RowWrite { key: RowKey::Operator(name.clone()), value, expected: None })
+        .await?;
     print::line(&token);
     Ok(())
 }
 
-async fn write(client: &Client, write: RowWrite) -> Result<(), CommandError> {
-    let version = command::change(client, None, vec![write]).await?;
-    // The token alone goes to standard output, so that a script can keep it.
+async fn submit_write(client: &Client, write: RowWrite) -> Result<(), CommandError> {
+    let version = command::submit_change(client, None, vec![write]).await?;
+    // Standard output carries only the token, so that a script can capture it.
     eprintln!("accepted as version {version}");
     Ok(())
 }
 
-async fn list(client: &Client) -> Result<(), CommandError> {
+async fn print_operators(client: &Client) -> Result<(), CommandError> {
     let mut lines = vec![vec!["OPERATOR".to_owned(), "GROUP".to_owned()]];
-    for row in command::rows(client, "operator/").await? {
+    for row in command::fetch_rows(client, "operator/").await? {
         let RowKey::Operator(name) = &row.key else {
             continue;
         };
--- a/reachhead/src/command/settings.rs
+++ b/reachhead/src/command/settings.rs
@@ -1,4 +1,4 @@
-//! `reachhead settings`.
+//! `reachhead settings`: reads and changes configuration rows.
 
 use std::time::{Duration, Instant};
 
@@ -14,34 +14,34 @@
     print,
 };
 
-/// Pause between two looks while waiting.
-const WAIT_STEP: Duration = Duration::from_millis(200);
+/// Pause between two polls of the status.
+const POLL_PERIOD: Duration = Duration::from_millis(200);
 
-/// Runs a command on the tree of settings.
+/// Runs a subcommand of `reachhead settings`.
 pub async fn run(args: &SettingsArgs) -> Result<(), CommandError> {
-    let client = Client::with_admin(args.admin)?;
+    let client = Client::for_admin(args.admin)?;
     match &args.command {
         SettingsCommand::Get(get) => print_rows(&client, &get.prefix, args.json).await,
-        SettingsCommand::Set(set) => write(&client, set).await,
-        SettingsCommand::Delete(delete) => remove(&client, delete).await,
+        SettingsCommand::Set(set) => set_row(&client, set).await,
+        SettingsCommand::Delete(delete) => delete_row(&client, delete).await,
         SettingsCommand::Effective(effective) => {
-            let report: Effective =
+            let report: EffectiveSettings =
                 client.get(&format!("/v1/effective/{}", effective.group)).await?;
             print_effective(&report, args.json)
         }
-        SettingsCommand::Log(log) => history::log(&client, log, args.json).await,
-        SettingsCommand::Diff(diff) => history::diff(&client, diff, args.json).await,
+        SettingsCommand::Log(log) => history::print_log(&client, log, args.json).await,
+        SettingsCommand::Diff(diff) => history::print_diff(&client, diff, args.json).await,
         SettingsCommand::Undo(undo) => history::undo(&client, undo).await,
         SettingsCommand::Status(status) => wait_status(&client, status, args.json).await,
     }
 }
 
 async fn print_rows(client: &Client, prefix: &str, json: bool) -> Result<(), CommandError> {
-    let rows = command::rows(client, prefix).await?;
+    let rows = command::fetch_rows(client, prefix).await?;
     if json {
         return print::json(&rows);
     }
-    let mut lines = vec![print::head(&["KEY", "VERSION", "VALUE"])];
+    let mut lines = vec![print::header(&["KEY", "VERSION", "VALUE"])];
     for row in rows {
         lines.push(vec![row.key.to_string(), row.version.to_string(), row.value.to_string()]);
     }
@@ -49,32 +49,32 @@
     Ok(())
 }
 
-async fn write(client: &Client, args: &SetArgs) -> Result<(), CommandError> {
+async fn set_row(client: &Client, args: &SetArgs) -> Result<(), CommandError> {
     let value: Value = serde_json::from_str(&args.value)?;
     let write = RowWrite { key: args.key.clone(), value: Some(value), expected: args.expected };
-    let version = command::change(client, args.id, vec![write]).await?;
+    let version = command::submit_change(client, args.id, vec![write]).await?;
     print::line(&format!("accepted as version {version}"));
     Ok(())
 }
 
-async fn remove(client: &Client, args: &DeleteArgs) -> Result<(), CommandError> {
+async fn delete_row(client: &Client, args: &DeleteArgs) -> Result<(), CommandError> {
     let write = RowWrite { key: args.key.clone(), value: None, expected: args.expected };
-    let version = command::change(client, args.id, vec![write]).await?;
+    let version = command::submit_change(client, args.id, vec![write]).await?;
     print::line(&format!("accepted as version {version}"));
     Ok(())
 }
 
 #[derive(Deserialize, Serialize)]
-struct Effective {
+struct EffectiveSettings {
     settings: serde_json::Map<String, Value>,
     origins: serde_json::Map<String, Value>,
 }
 
-fn print_effective(report: &Effective, json: bool) -> Result<(), CommandError> {
+fn print_effective(report: &EffectiveSettings, json: bool) -> Result<(), CommandError> {
     if json {
         return print::json(report);
     }
-    let mut lines = vec![print::head(&["SETTING", "VALUE", "FROM"])];
+    let mut lines = vec![print::header(&["SETTING", "VALUE", "FROM"])];
     for (name, value) in &report.settings {
         let origin = report.origins.get(name).and_then(Value::as_str).unwrap_or("(default)");
         lines.push(vec![name.clone(), value.to_string(), origin.to_owned()]);
@@ -97,17 +97,18 @@
     hosts: Vec<HostStatus>,
 }
 
+/// Prints on how many hosts the newest version is in force, waiting for all of them if asked to.
 async fn wait_status(client: &Client, args: &StatusArgs, json: bool) -> Result<(), CommandError> {
-    let limit = Instant::now() + Duration::from_secs(args.wait);
+    let deadline = Instant::now() + Duration::from_secs(args.wait);
     loop {
         let status: Status = client.get("/v1/status").await?;
-        let is_everywhere = status.in_force == status.hosts.len();
-        if is_everywhere || Instant::now() >= limit {
+        let is_complete = status.in_force == status.hosts.len();
+        if is_complete || Instant::now() >= deadline {
             print_status(&status, json)?;
-            let is_late = args.wait > 0 && !is_everywhere;
-            return if is_late { Err(CommandError::Late) } else { Ok(()) };
+            let has_timed_out = args.wait > 0 && !is_complete;
+            return if has_timed_out { Err(CommandError::TimedOut) } else { Ok(()) };
         }
-        time::sleep(WAIT_STEP).await;
+        time::sleep(POLL_PERIOD).await;
     }
 }
 
@@ -117,10 +118,15 @@
     }
     let Status { version, in_force, hosts } = status;
     print::line(&format!("version {version} is in force on {in_force} of {} hosts", hosts.len()));
-    let mut lines = vec![print::head(&["HOST", "CONTROL", "ENTRY"])];
-    let text = |version: Option<Version>| version.map_or("?".to_owned(), |v| v.to_string());
+    let mut lines = vec![print::header(&["HOST", "CONTROL", "ENTRY"])];
+    let format_version =
+        |version: Option<Version>| version.map_or("?".to_owned(), |v| v.to_string());
     for host in hosts {
-        lines.push(vec![host.host.to_string(), text(host.control), text(host.entry)]);
+        lines.push(vec![
+            host.host.to_string(),
+            format_version(host.control),
+            format_version(host.entry),
+        ]);
     }
     print::table(&lines);
     Ok(())
--- a/reachhead/src/command/wave.rs
+++ b/reachhead/src/command/wave.rs
@@ -1,4 +1,4 @@
-//! `reachhead wave`.
+//! `reachhead wave`: starts, steers and shows maintenance waves.
 
 use std::time::{Duration, Instant};
 
@@ -17,8 +17,8 @@
     print,
 };
 
-/// Pause between two looks while waiting.
-const WAIT_STEP: Duration = Duration::from_millis(500);
+/// Pause between two polls of a wave.
+const POLL_PERIOD: Duration = Duration::from_millis(500);
 
 #[derive(Deserialize, Serialize)]
 struct Wave {
@@ -37,7 +37,7 @@
 }
 
 impl Host {
-    /// Returns where the host stands, in a word.
+    /// Returns the host's stage in the wave as one word.
     fn stage(&self) -> String {
         match (self.phase, self.is_done) {
             (HostPhase::Serving, true) => "done".to_owned(),
@@ -46,19 +46,20 @@
         }
     }
 
-    fn is_on_way(&self) -> bool {
+    /// Returns whether the host is being drained, rebooted or brought back.
+    fn is_in_progress(&self) -> bool {
         self.phase != HostPhase::Serving
     }
 }
 
-/// Runs a command on waves.
+/// Runs a subcommand of `reachhead wave`.
 pub async fn run(args: &WaveArgs) -> Result<(), CommandError> {
-    let client = Client::with_admin(args.admin)?;
+    let client = Client::for_admin(args.admin)?;
     match &args.command {
         WaveCommand::Start(start) => {
-            let new = json!({ "name": start.name, "pools": start.pool });
-            let waves: Vec<Wave> = client.post("/v1/waves", &new).await?;
-            finish(&client, &start.name, waves, start.wait, args.json).await
+            let request = json!({ "name": start.name, "pools": start.pool });
+            let waves: Vec<Wave> = client.post("/v1/waves", &request).await?;
+            wait_and_show(&client, &start.name, waves, start.wait, args.json).await
         }
         WaveCommand::Pause(pause) => {
             set_state(&client, &pause.name, WaveState::Paused, args.json).await
@@ -71,19 +72,19 @@
         }
         WaveCommand::List(_) => {
             let waves: Vec<Wave> = client.get("/v1/waves").await?;
-            list(&waves, args.json)
+            print_waves(&waves, args.json)
         }
         WaveCommand::Show(show) => {
-            let waves = read(&client, &show.name).await?;
-            finish(&client, &show.name, waves, show.wait, args.json).await
+            let waves = fetch_wave(&client, &show.name).await?;
+            wait_and_show(&client, &show.name, waves, show.wait, args.json).await
         }
     }
 }
 
-async fn read(client: &Client, name: &WaveName) -> Result<Vec<Wave>, CommandError> {
+async fn fetch_wave(client: &Client, name: &WaveName) -> Result<Vec<Wave>, CommandError> {
     let waves: Vec<Wave> = client.get(&format!("/v1/waves/{name}")).await?;
     match waves.is_empty() {
-        true => Err(CommandError::Kind(format!("there is no wave {name}"))),
+        true => Err(CommandError::InvalidInput(format!("there is no wave {name}"))),
         false => Ok(waves),
     }
 }
@@ -96,73 +97,74 @@
 ) -> Result<(), CommandError> {
     let path = format!("/v1/waves/{name}/state");
     let waves: Vec<Wave> = client.post(&path, &json!({ "state": state })).await?;
-    list(&waves, json)
+    print_waves(&waves, json)
 }
 
-/// Prints waves, with their progress until all hosts are done if `wait` is not 0.
-async fn finish(
+/// Prints the hosts of waves; first prints their progress for up to `wait` seconds, until all are done.
+async fn wait_and_show(
     client: &Client,
     name: &WaveName,
     mut waves: Vec<Wave>,
     wait: u64,
     json: bool,
 ) -> Result<(), CommandError> {
-    let limit = Instant::now() + Duration::from_secs(wait);
-    let mut told = String::new();
+    let deadline = Instant::now() + Duration::from_secs(wait);
+    let mut last_line = String::new();
     while wait > 0 && !is_done(&waves) {
-        let line = progress(&waves);
-        if line != told {
+        let line = format_progress(&waves);
+        if line != last_line {
             print::line(&line);
-            told = line;
+            last_line = line;
         }
-        if Instant::now() >= limit {
-            return Err(CommandError::Late);
+        if Instant::now() >= deadline {
+            return Err(CommandError::TimedOut);
         }
-        time::sleep(WAIT_STEP).await;
-        waves = read(client, name).await?;
+        time::sleep(POLL_PERIOD).await;
+        waves = fetch_wave(client, name).await?;
     }
-    show(&waves, json)
+    print_hosts(&waves, json)
 }
 
 fn is_done(waves: &[Wave]) -> bool {
     let mut hosts = waves.iter().flat_map(|wave| &wave.hosts);
-    hosts.all(|host| host.is_done && !host.is_on_way())
+    hosts.all(|host| host.is_done && !host.is_in_progress())
 }
 
-fn progress(waves: &[Wave]) -> String {
+fn format_progress(waves: &[Wave]) -> String {
     let hosts: Vec<&Host> = waves.iter().flat_map(|wave| &wave.hosts).collect();
     let done = hosts.iter().filter(|host| host.is_done).count();
-    let on_way = hosts.iter().filter(|host| host.is_on_way()).count();
+    let in_progress = hosts.iter().filter(|host| host.is_in_progress()).count();
     let held = hosts.iter().filter(|host| host.hold.is_some()).count();
-    format!("{done} of {} hosts done, {on_way} on their way, {held} held", hosts.len())
+    format!("{done} of {} hosts done, {in_progress} on their way, {held} held", hosts.len())
 }
 
-fn list(waves: &[Wave], json: bool) -> Result<(), CommandError> {
+fn print_waves(waves: &[Wave], json: bool) -> Result<(), CommandError> {
     if json {
         return print::json(&waves);
     }
-    let mut lines = vec![print::head(&["WAVE", "POOL", "STATE", "HOSTS", "DONE", "ON THEIR WAY"])];
+    let mut lines =
+        vec![print::header(&["WAVE", "POOL", "STATE", "HOSTS", "DONE", "ON THEIR WAY"])];
     for wave in waves {
         let done = wave.hosts.iter().filter(|host| host.is_done).count();
-        let on_way = wave.hosts.iter().filter(|host| host.is_on_way()).count();
+        let in_progress = wave.hosts.iter().filter(|host| host.is_in_progress()).count();
         lines.push(vec![
             wave.name.to_string(),
             wave.pool.to_string(),
             wave.state.to_string(),
             wave.hosts.len().to_string(),
             done.to_string(),
-            on_way.to_string(),
+            in_progress.to_string(),
         ]);
     }
     print::table(&lines);
     Ok(())
 }
 
-fn show(waves: &[Wave], json: bool) -> Result<(), CommandError> {
+fn print_hosts(waves: &[Wave], json: bool) -> Result<(), CommandError> {
     if json {
         return print::json(&waves);
     }
-    let mut lines = vec![print::head(&["HOST", "POOL", "STAGE", "HELD BY"])];
+    let mut lines = vec![print::header(&["HOST", "POOL", "STAGE", "HELD BY"])];
     for wave in waves {
         for host in &wave.hosts {
             lines.push(vec![
--- a/reachhead/src/main.rs
+++ b/reachhead/src/main.rs
@@ -1,4 +1,4 @@
-//! Operators' command line.
+//! Command line for operators.
 
 mod args;
 mod client;
@@ -44,7 +44,7 @@
         Command::Settings(settings) => command::settings::run(&settings).await,
         Command::Operator(operator) => command::operator::run(&operator).await,
         Command::Host(host) => command::host::run(&host).await,
-        Command::Pool(pool) => command::host::pools(&pool).await,
+        Command::Pool(pool) => command::host::run_pool(&pool).await,
         Command::Wave(wave) => command::wave::run(&wave).await,
     }
 }
--- a/reachhead/src/print.rs
+++ b/reachhead/src/print.rs
@@ -1,4 +1,4 @@
-//! Lines and tables for people.
+//! Output to standard output: lines, tables and JSON.
 
 use std::{
     io::{self, Write},
@@ -9,14 +9,14 @@
 
 use crate::command::CommandError;
 
-/// Prints a line; a reader that has gone, as in `reachhead … | head`, ends the program quietly.
+/// Prints a line; ends the program with status 0 if the reader closed the pipe, as `reachhead … | head` does.
 pub fn line(text: &str) {
     if writeln!(io::stdout(), "{text}").is_err() {
         process::exit(0);
     }
 }
 
-/// Prints rows in columns as wide as their widest cell; the first row is the head.
+/// Prints rows in columns as wide as their widest cell; the first row is the header.
 pub fn table(rows: &[Vec<String>]) {
     let columns = rows.iter().map(Vec::len).max().unwrap_or_default();
     let width = |column: usize| {
@@ -29,17 +29,17 @@
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 ///
 /// # Errors
 ///
-/// Fails if the value has a map that JSON can't write.
+/// Fails if the value holds a map whose keys are not valid in JSON.
 pub fn json(value: &impl Serialize) -> Result<(), CommandError> {
     line(&serde_json::to_string_pretty(value)?);
     Ok(())
 }
 
-/// Returns the head of a table.
-pub fn head(names: &[&str]) -> Vec<String> {
+/// Returns the header row of a table.
+pub fn header(names: &[&str]) -> Vec<String> {
     names.iter().map(|&name| name.to_owned()).collect()
 }
