--- a/reachhead/tests/system/claims.rs
+++ b/reachhead/tests/system/claims.rs
@@ -12,7 +12,7 @@
 
 use reachhead_harness::{
     Call, Cluster, Reply, call,
-    cluster::{Plan, state},
+    cluster::{ClusterConfig, fetch_state},
     eventually,
 };
 
@@ -41,13 +41,13 @@
 
 /// Fills every slot of a host at service alpha for a while, so that what comes next waits.
 async fn fill(cluster: &Cluster, host: usize, work: u64) -> Vec<JoinHandle<Reply>> {
-    let state = state(cluster.hosts[host].entry_ops).await;
+    let state = fetch_state(cluster.hosts[host].entry_ops).await;
     let minions = state["services"][0]["minions"].as_array().unwrap().clone();
     let slots: u64 = minions.iter().map(|minion| minion["limit"].as_u64().unwrap()).sum();
-    let long = Call::post("/red/alpha", "long").with_field("standin-work", work);
+    let long = Call::post("/red/alpha", "long").with_header("standin-work", work);
     let sent = (0..slots).map(|_| send(cluster, host, long.clone())).collect();
     eventually("the slots are full", async || {
-        let state = reachhead_harness::cluster::state(cluster.hosts[host].entry_ops).await;
+        let state = reachhead_harness::cluster::fetch_state(cluster.hosts[host].entry_ops).await;
         let minions = state["services"][0]["minions"].as_array()?.clone();
         let running: u64 = minions.iter().filter_map(|minion| minion["running"].as_u64()).sum();
         (running == slots).then_some(())
@@ -58,29 +58,29 @@
 
 #[tokio::test]
 async fn a_repeated_key_is_replayed_by_every_host_and_another_body_refused() {
-    let cluster = Plan::new(3, 2).start().await;
+    let cluster = ClusterConfig::new(3, 2).start().await;
     let first = cluster.call(0, &pay("a")).await;
     assert_eq!((first.status, first.outcome()), (200, "ran"));
     for host in [0, 1, 2, 1] {
         let again = cluster.call(host, &pay("a")).await;
         assert_eq!((again.status, &again.body), (200, &first.body));
-        assert_eq!(again.field("reachhead-replayed"), "1");
+        assert_eq!(again.header("reachhead-replayed"), "1");
     }
     for host in 0..3 {
         let other = Call::post("/red/pay", "999").with_key("a");
         let reply = cluster.call(host, &other).await;
         assert_eq!((reply.error(), reply.outcome()), ("key-reused", "not-run"));
     }
-    assert_eq!(cluster.runs("a").await, 1);
+    assert_eq!(cluster.count_runs("a").await, 1);
     // Another group's or service's request under the same key is another request.
     let beta = Call::post("/blue/beta", "100").with_key("a");
     assert_eq!(cluster.call(2, &beta).await.status, 200);
-    assert_eq!(cluster.runs("a").await, 2);
+    assert_eq!(cluster.count_runs("a").await, 2);
 }
 
 #[tokio::test]
 async fn the_same_key_at_all_hosts_at_once_runs_once() {
-    let cluster = Plan::new(3, 2).with_work(20).start().await;
+    let cluster = ClusterConfig::new(3, 2).with_work(20).start().await;
     for round in 0..10 {
         let key = format!("race-{round}");
         let calls = (0..9).map(|i| send(&cluster, i % 3, pay(&key)));
@@ -91,13 +91,13 @@
             let is_told = reply.status == 200 || reply.error() == "key-in-progress";
             assert!(is_told, "{reply:?}");
         }
-        assert_eq!(cluster.runs(&key).await, 1);
+        assert_eq!(cluster.count_runs(&key).await, 1);
     }
 }
 
 #[tokio::test]
 async fn an_entry_killed_between_claim_and_dispatch_leaves_an_unknown_that_never_runs() {
-    let plan = Plan::new(2, 1).with_deadline(3000).with_entry(without_loans());
+    let plan = ClusterConfig::new(2, 1).with_deadline(3000).with_entry(without_loans());
     let mut cluster = plan.start().await;
     let _filled = fill(&cluster, 0, 2000).await;
     let waiting = send(&cluster, 0, pay("a"));
@@ -108,28 +108,29 @@
     for _ in 0..5 {
         let reply = cluster.call(1, &pay("a")).await;
         assert_eq!((reply.error(), reply.outcome()), ("owner-unreachable", "unknown"));
-        assert_eq!(reply.field("retry-after"), "5");
+        assert_eq!(reply.header("retry-after"), "5");
     }
-    assert_eq!(cluster.runs("a").await, 0);
+    assert_eq!(cluster.count_runs("a").await, 0);
 }
 
 #[tokio::test]
 async fn an_entry_killed_between_dispatch_and_answer_never_leads_to_a_second_run() {
-    let mut cluster = Plan::new(2, 1).with_deadline(5000).start().await;
-    let waiting = send(&cluster, 0, pay("a").with_field("standin-work", 2000));
-    eventually("the request runs", async || (cluster.runs("a").await == 1).then_some(())).await;
+    let mut cluster = ClusterConfig::new(2, 1).with_deadline(5000).start().await;
+    let waiting = send(&cluster, 0, pay("a").with_header("standin-work", 2000));
+    eventually("the request runs", async || (cluster.count_runs("a").await == 1).then_some(()))
+        .await;
     cluster.hosts[0].entry.kill();
     assert_eq!(waiting.await.unwrap().status, 0);
     for _ in 0..5 {
-        let reply = cluster.call(1, &pay("a").with_field("standin-work", 2000)).await;
+        let reply = cluster.call(1, &pay("a").with_header("standin-work", 2000)).await;
         assert_eq!((reply.error(), reply.outcome()), ("owner-unreachable", "unknown"));
     }
-    assert_eq!(cluster.runs("a").await, 1);
+    assert_eq!(cluster.count_runs("a").await, 1);
 }
 
 #[tokio::test]
 async fn a_paused_owner_and_the_retries_elsewhere_run_it_at_most_once() {
-    let plan = Plan::new(3, 1).with_deadline(2000).with_entry(without_loans());
+    let plan = ClusterConfig::new(3, 1).with_deadline(2000).with_entry(without_loans());
     let cluster = plan.start().await;
     let _filled = fill(&cluster, 0, 1500).await;
     let waiting = send(&cluster, 0, pay("a"));
@@ -147,7 +148,7 @@
     }
     cluster.hosts[0].entry.signal(Signal::SIGCONT);
     let told = waiting.await.unwrap();
-    let runs = cluster.runs("a").await;
+    let runs = cluster.count_runs("a").await;
     assert!(runs <= 1);
     assert!(told.outcome() != "not-run" || runs == 0, "{told:?}");
     // The owner gave it up or lost it; either way the end is the same everywhere from now on.
@@ -157,48 +158,48 @@
     })
     .await;
     assert_eq!(last.outcome(), "ran");
-    assert_eq!(cluster.runs("a").await, 1);
+    assert_eq!(cluster.count_runs("a").await, 1);
 }
 
 #[tokio::test]
 async fn a_claim_whose_answer_the_store_loses_is_read_back() {
-    let cluster = Plan::new(2, 1).with_deadline(4000).start().await;
-    cluster.store_fault(json!({ "lose": 1, "lose_prefix": "claim/" })).await;
+    let cluster = ClusterConfig::new(2, 1).with_deadline(4000).start().await;
+    cluster.set_store_fault(json!({ "lose": 1, "lose_prefix": "claim/" })).await;
     let reply = cluster.call(0, &pay("a")).await;
     assert_eq!((reply.status, reply.outcome()), (200, "ran"), "{reply:?}");
     let again = cluster.call(1, &pay("a")).await;
-    assert_eq!((again.status, again.field("reachhead-replayed")), (200, "1"));
-    assert_eq!(cluster.runs("a").await, 1);
+    assert_eq!((again.status, again.header("reachhead-replayed")), (200, "1"));
+    assert_eq!(cluster.count_runs("a").await, 1);
 }
 
 #[tokio::test]
 async fn a_claim_that_landed_unseen_is_not_run_and_then_taken_over() {
     // The store must be cut off between the write and the read back, however busy the machine is.
     let patient = json!({ "store": { "deadline": 1500 } });
-    let cluster = Plan::new(2, 1).with_deadline(4000).with_entry(patient).start().await;
+    let cluster = ClusterConfig::new(2, 1).with_deadline(4000).with_entry(patient).start().await;
     // The transaction takes effect, its answer is lost, and so is the read that would find it.
-    cluster.store_fault(json!({ "lose": 1, "lose_prefix": "claim/" })).await;
+    cluster.set_store_fault(json!({ "lose": 1, "lose_prefix": "claim/" })).await;
     let waiting = send(&cluster, 0, pay("a"));
     eventually("the claim has landed", async || (!claims(&cluster).await.is_empty()).then_some(()))
         .await;
-    cluster.store_fault(json!({ "hang": true })).await;
+    cluster.set_store_fault(json!({ "hang": true })).await;
     let told = waiting.await.unwrap();
     assert_eq!((told.error(), told.outcome()), ("store-down", "not-run"));
-    cluster.store_fault(json!({})).await;
+    cluster.set_store_fault(json!({})).await;
     let taken = eventually("the other host takes over", async || {
         let reply = cluster.call(1, &pay("a")).await;
         (reply.status == 200).then_some(reply)
     })
     .await;
     assert_eq!(taken.outcome(), "ran");
-    assert_eq!(cluster.runs("a").await, 1);
+    assert_eq!(cluster.count_runs("a").await, 1);
 }
 
 #[tokio::test]
 async fn a_long_store_outage_refuses_keyed_requests_at_once_and_serves_the_rest() {
-    let cluster = Plan::new(2, 2).with_deadline(4000).start().await;
+    let cluster = ClusterConfig::new(2, 2).with_deadline(4000).start().await;
     for fault in [json!({ "refuse": true }), json!({ "hang": true })] {
-        cluster.store_fault(fault).await;
+        cluster.set_store_fault(fault).await;
         let mut slow = Vec::new();
         for number in 0..40 {
             let started = Instant::now();
@@ -207,16 +208,16 @@
                 slow.push((number, started.elapsed()));
             }
             assert_eq!((reply.error(), reply.outcome()), ("store-down", "not-run"), "{reply:?}");
-            assert!(!reply.field("retry-after").is_empty());
+            assert!(!reply.header("retry-after").is_empty());
             let other = cluster.call(number % 2, &Call::get("/red/alpha")).await;
             assert_eq!(other.status, 200, "{other:?}");
         }
         // Now and then one call looks whether the store is back, at each of the two hosts.
         assert!(slow.len() <= 3, "refused only after {slow:?}");
         for number in 0..40 {
-            assert_eq!(cluster.runs(&format!("down-{number}")).await, 0);
+            assert_eq!(cluster.count_runs(&format!("down-{number}")).await, 0);
         }
-        cluster.store_fault(json!({})).await;
+        cluster.set_store_fault(json!({})).await;
         eventually("keyed requests run again", async || {
             (cluster.call(0, &pay("after")).await.status == 200).then_some(())
         })
@@ -226,8 +227,8 @@
 
 #[tokio::test]
 async fn a_late_answer_is_kept_for_the_retry() {
-    let cluster = Plan::new(2, 1).with_deadline(1000).start().await;
-    let slow = pay("a").with_field("standin-work", 1500);
+    let cluster = ClusterConfig::new(2, 1).with_deadline(1000).start().await;
+    let slow = pay("a").with_header("standin-work", 1500);
     let told = cluster.call(0, &slow).await;
     assert_eq!((told.error(), told.outcome()), ("minion-timeout", "unknown"));
     for host in 0..2 {
@@ -237,50 +238,51 @@
             (reply.status == 200).then_some(reply)
         })
         .await;
-        assert_eq!(kept.field("reachhead-replayed"), "1");
+        assert_eq!(kept.header("reachhead-replayed"), "1");
     }
-    assert_eq!(cluster.runs("a").await, 1);
+    assert_eq!(cluster.count_runs("a").await, 1);
 }
 
 #[tokio::test]
 async fn a_caller_that_leaves_finds_the_answer_on_its_return() {
-    let cluster = Plan::new(2, 1).with_deadline(4000).start().await;
-    let request = pay("a").with_field("standin-work", 600);
+    let cluster = ClusterConfig::new(2, 1).with_deadline(4000).start().await;
+    let request = pay("a").with_header("standin-work", 600);
     let gone = send(&cluster, 0, request.clone());
-    eventually("the request runs", async || (cluster.runs("a").await == 1).then_some(())).await;
+    eventually("the request runs", async || (cluster.count_runs("a").await == 1).then_some(()))
+        .await;
     gone.abort();
     let kept = eventually("the answer is there", async || {
         let reply = cluster.call(1, &request).await;
         (reply.status == 200).then_some(reply)
     })
     .await;
-    assert_eq!(kept.field("reachhead-replayed"), "1");
-    assert_eq!(cluster.runs("a").await, 1);
+    assert_eq!(kept.header("reachhead-replayed"), "1");
+    assert_eq!(cluster.count_runs("a").await, 1);
 }
 
 #[tokio::test]
 async fn a_minion_that_breaks_off_leaves_unknown_and_one_that_refuses_leaves_not_run() {
-    let cluster = Plan::new(2, 1).start().await;
-    cluster.minion_fault(0, json!({ "drop": true })).await;
+    let cluster = ClusterConfig::new(2, 1).start().await;
+    cluster.set_minion_fault(0, json!({ "drop": true })).await;
     let broke = cluster.call(0, &pay("a")).await;
     assert_eq!((broke.error(), broke.outcome()), ("minion-broke", "unknown"));
-    cluster.minion_fault(0, json!({ "refuse": true })).await;
+    cluster.set_minion_fault(0, json!({ "refuse": true })).await;
     let refused = cluster.call(0, &pay("b")).await;
     assert_eq!((refused.error(), refused.outcome()), ("minion-refused", "not-run"));
-    cluster.minion_fault(0, json!({})).await;
+    cluster.set_minion_fault(0, json!({})).await;
     for host in 0..2 {
         let reply = cluster.call(host, &pay("a")).await;
         assert_eq!((reply.error(), reply.outcome()), ("key-outcome-lost", "unknown"));
     }
     let retried = cluster.call(1, &pay("b")).await;
     assert_eq!((retried.status, retried.outcome()), (200, "ran"));
-    assert_eq!((cluster.runs("a").await, cluster.runs("b").await), (1, 1));
+    assert_eq!((cluster.count_runs("a").await, cluster.count_runs("b").await), (1, 1));
 }
 
 #[tokio::test]
 async fn old_claims_are_cleaned_up_and_younger_ones_kept() {
     // Kept for 6 s, in 24 steps of 250 ms.
-    let plan = Plan::new(2, 1).with_control(json!({ "clean": { "keep": 6000 } }));
+    let plan = ClusterConfig::new(2, 1).with_control(json!({ "clean": { "keep": 6000 } }));
     let cluster = plan.start().await;
     assert_eq!(cluster.call(0, &pay("old")).await.status, 200);
     let sent = Instant::now();
@@ -304,8 +306,8 @@
 // the list was up to 2.3 s old where a host may serve by one of 1.6 s (`not-ready`). The store has a right to be slow.
 #[tokio::test]
 async fn a_store_that_answers_within_half_a_second_keeps_hosts_ready_and_keyed_calls_served() {
-    let cluster = Plan::new(2, 1).with_deadline(5000).start().await;
-    cluster.store_fault(json!({ "delay": 450 })).await;
+    let cluster = ClusterConfig::new(2, 1).with_deadline(5000).start().await;
+    cluster.set_store_fault(json!({ "delay": 450 })).await;
     for number in 0..12 {
         let reply = cluster.call(number % 2, &pay(&format!("slow-{number}"))).await;
         assert_eq!((reply.status, reply.outcome()), (200, "ran"), "{reply:?}");
--- a/reachhead/tests/system/limits.rs
+++ b/reachhead/tests/system/limits.rs
@@ -14,9 +14,9 @@
 
 use reachhead_harness::{
     Call, Cluster, call,
-    cluster::{Plan, ready, state},
+    cluster::{ClusterConfig, fetch_state, wait_ready},
     eventually,
-    wire::Wire,
+    proxy::Proxy,
 };
 
 /// Slots of a minion.
@@ -60,7 +60,7 @@
 async fn limits(cluster: &Cluster, hosts: &[usize]) -> Vec<u64> {
     let mut sums: Vec<u64> = Vec::new();
     for &host in hosts {
-        let state = state(cluster.hosts[host].entry_ops).await;
+        let state = fetch_state(cluster.hosts[host].entry_ops).await;
         let limits = minions(&state);
         sums.resize(limits.len(), 0);
         for (sum, limit) in sums.iter_mut().zip(limits) {
@@ -87,7 +87,7 @@
 
 #[tokio::test]
 async fn the_shares_of_all_hosts_make_up_each_minions_slots() {
-    let cluster = Plan::new(3, 3).start().await;
+    let cluster = ClusterConfig::new(3, 3).start().await;
     eventually("all shares are in use", async || {
         let sums = limits(&cluster, &[0, 1, 2]).await;
         (sums == [SLOTS; 6]).then_some(())
@@ -97,13 +97,13 @@
 
 #[tokio::test]
 async fn limits_hold_while_hosts_are_killed_added_and_stopped_under_a_flood() {
-    let mut cluster = Plan::new(3, 1).with_work(15).with_deadline(1000).start().await;
+    let mut cluster = ClusterConfig::new(3, 1).with_work(15).with_deadline(1000).start().await;
     let flood = Flood::start(&cluster, &[0, 1, 2], 12);
     time::sleep(Duration::from_secs(1)).await;
     cluster.hosts[0].entry.kill();
     cluster.hosts[0].control.kill();
     cluster.add_host();
-    ready(cluster.hosts[3].entry_ops).await;
+    wait_ready(cluster.hosts[3].entry_ops).await;
     let more = Flood::start(&cluster, &[3], 12);
     eventually("the killed host's slots are in use again", async || {
         let sums = limits(&cluster, &[1, 2, 3]).await;
@@ -125,7 +125,7 @@
 
 #[tokio::test]
 async fn a_frozen_host_that_thaws_finds_its_slots_gone() {
-    let cluster = Plan::new(2, 1).with_work(15).with_deadline(800).start().await;
+    let cluster = ClusterConfig::new(2, 1).with_work(15).with_deadline(800).start().await;
     let flood = Flood::start(&cluster, &[0, 1], 12);
     cluster.hosts[0].control.signal(Signal::SIGSTOP);
     cluster.hosts[0].entry.signal(Signal::SIGSTOP);
@@ -151,8 +151,8 @@
 
 #[tokio::test]
 async fn a_store_outage_changes_no_share_and_no_answer() {
-    let cluster = Plan::new(3, 1).with_work(5).start().await;
-    cluster.store_fault(json!({ "hang": true })).await;
+    let cluster = ClusterConfig::new(3, 1).with_work(5).start().await;
+    cluster.set_store_fault(json!({ "hang": true })).await;
     // Longer than any term after which a host would be taken for gone.
     for _ in 0..60 {
         for host in 0..3 {
@@ -162,7 +162,7 @@
         time::sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
-    cluster.store_fault(json!({})).await;
+    cluster.set_store_fault(json!({})).await;
     time::sleep(Duration::from_secs(2)).await;
     assert_eq!(limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
     assert_limits_held(&cluster).await;
@@ -170,12 +170,12 @@
 
 #[tokio::test]
 async fn a_host_cut_from_the_store_alone_stops_when_the_others_take_it_off() {
-    let mut cluster = Plan::new(2, 1).with_work(10).with_deadline(800).start().await;
-    let wire = Wire::new(cluster.store.ip(), cluster.store).await;
+    let mut cluster = ClusterConfig::new(2, 1).with_work(10).with_deadline(800).start().await;
+    let wire = Proxy::new(cluster.store.ip(), cluster.store).await;
     cluster.add_host_with_store(wire.address);
-    ready(cluster.hosts[2].entry_ops).await;
+    wait_ready(cluster.hosts[2].entry_ops).await;
     let flood = Flood::start(&cluster, &[0, 1, 2], 6);
-    wire.cut(true);
+    wire.set_partitioned(true);
     eventually("the others have all slots", async || {
         let sums = limits(&cluster, &[0, 1]).await;
         let own = limits(&cluster, &[2]).await;
@@ -184,7 +184,7 @@
     .await;
     let reply = cluster.call(2, &Call::get("/red/alpha")).await;
     assert_eq!((reply.status, reply.outcome()), (503, "not-run"), "{reply:?}");
-    wire.cut(false);
+    wire.set_partitioned(false);
     eventually("all three share again", async || {
         let sums = limits(&cluster, &[0, 1, 2]).await;
         let own = limits(&cluster, &[2]).await;
@@ -197,11 +197,11 @@
 
 #[tokio::test]
 async fn a_host_off_the_list_borrows_nothing() {
-    let mut cluster = Plan::new(2, 1).with_deadline(800).start().await;
-    let wire = Wire::new(cluster.store.ip(), cluster.store).await;
+    let mut cluster = ClusterConfig::new(2, 1).with_deadline(800).start().await;
+    let wire = Proxy::new(cluster.store.ip(), cluster.store).await;
     cluster.add_host_with_store(wire.address);
-    ready(cluster.hosts[2].entry_ops).await;
-    wire.cut(true);
+    wait_ready(cluster.hosts[2].entry_ops).await;
+    wire.set_partitioned(true);
     eventually("the others have all slots", async || {
         let sums = limits(&cluster, &[0, 1]).await;
         let own = limits(&cluster, &[2]).await;
@@ -218,32 +218,32 @@
 
 #[tokio::test]
 async fn a_host_that_its_peers_cannot_reach_goes_on_and_so_do_they() {
-    let mut cluster = Plan::new(2, 1).with_work(5).start().await;
-    let wires = cluster.add_host_behind_wires().await;
-    ready(cluster.hosts[2].entry_ops).await;
+    let mut cluster = ClusterConfig::new(2, 1).with_work(5).start().await;
+    let wires = cluster.add_host_behind_proxies().await;
+    wait_ready(cluster.hosts[2].entry_ops).await;
     eventually("all shares are in use", async || {
         (limits(&cluster, &[0, 1, 2]).await == [SLOTS; 2]).then_some(())
     })
     .await;
     // It still reaches its peers and the store; nobody reaches it.
     let is_reached = async || {
-        let status = cluster.read("/v1/status").await;
+        let status = cluster.admin_get("/v1/status").await;
         let mut hosts = status["hosts"].as_array().unwrap().iter();
         let host = hosts.find(|host| host["host"] == cluster.hosts[2].name.as_str()).unwrap();
         !host["control"].is_null()
     };
     assert!(is_reached().await);
     for wire in &wires {
-        wire.cut(true);
+        wire.set_partitioned(true);
     }
     assert!(!is_reached().await, "the cut cuts nothing");
     let row = json!({ "parent": "top", "settings": { "queue": 99 } });
     let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
-    cluster.in_force(version).await;
+    cluster.wait_in_force(version).await;
     // Longer than the silence after which a host would be taken for gone, the store at times away.
     for round in 0..60 {
         let is_down = (20..40).contains(&round);
-        cluster.store_fault(json!({ "hang": is_down })).await;
+        cluster.set_store_fault(json!({ "hang": is_down })).await;
         for host in 0..3 {
             let reply = cluster.call(host, &Call::get("/red/alpha")).await;
             assert_eq!(reply.status, 200, "host {host}, round {round}: {reply:?}");
@@ -256,7 +256,7 @@
 
 #[tokio::test]
 async fn an_entry_without_its_control_stops_and_goes_on_with_it() {
-    let cluster = Plan::new(2, 1).start().await;
+    let cluster = ClusterConfig::new(2, 1).start().await;
     cluster.hosts[0].control.signal(Signal::SIGSTOP);
     eventually("the host is not ready", async || {
         (call(cluster.hosts[0].entry_ops, &Call::get("/ready")).await.status == 503).then_some(())
@@ -266,12 +266,12 @@
     assert_eq!((reply.error(), reply.outcome()), ("not-ready", "not-run"));
     assert_eq!(cluster.call(1, &Call::get("/red/alpha")).await.status, 200);
     cluster.hosts[0].control.signal(Signal::SIGCONT);
-    ready(cluster.hosts[0].entry_ops).await;
+    wait_ready(cluster.hosts[0].entry_ops).await;
 }
 
 #[tokio::test]
 async fn a_skewed_balancer_is_served_by_loans_within_the_limits() {
-    let cluster = Plan::new(3, 1).with_work(20).with_deadline(1000).start().await;
+    let cluster = ClusterConfig::new(3, 1).with_work(20).with_deadline(1000).start().await;
     eventually("all shares are in use", async || {
         let sums = limits(&cluster, &[0, 1, 2]).await;
         (sums == [SLOTS; 2]).then_some(())
--- a/reachhead/tests/system/load.rs
+++ b/reachhead/tests/system/load.rs
@@ -64,7 +64,7 @@
                         _ => Call::get("/blue/alpha"),
                     };
                     let reply = call(host, &request).await;
-                    if reply.status == 200 && reply.is_whole {
+                    if reply.status == 200 && reply.is_complete {
                         served.fetch_add(1, Ordering::Relaxed);
                     } else {
                         failed.lock().unwrap().push(reply);
--- a/reachhead/tests/system/operators.rs
+++ b/reachhead/tests/system/operators.rs
@@ -12,14 +12,14 @@
 
 use reachhead_harness::{
     Call, Cluster, Reply, call,
-    cluster::{Plan, TOKEN, random_id, state},
+    cluster::{ClusterConfig, TOKEN, fetch_state, random_id},
     eventually,
-    process::program,
+    process::program_path,
 };
 
 /// Runs the operators' command line with `token`.
 fn command(cluster: &Cluster, token: &str, args: &[&str]) -> Output {
-    Command::new(program("reachhead"))
+    Command::new(program_path("reachhead"))
         .args(args)
         .env("REACHHEAD_ADMIN", cluster.admin.to_string())
         .env("REACHHEAD_TOKEN", token)
@@ -35,7 +35,7 @@
 }
 
 async fn call_as(admin: SocketAddr, token: &str, request: Call) -> Reply {
-    call(admin, &request.with_field("authorization", format!("Bearer {token}"))).await
+    call(admin, &request.with_header("authorization", format!("Bearer {token}"))).await
 }
 
 fn change(id: &str, key: &str, value: &Value, expected: Option<u64>) -> Call {
@@ -48,7 +48,7 @@
 
 #[tokio::test]
 async fn a_rivals_operator_neither_reads_nor_changes_another_groups_rows() {
-    let cluster = Plan::new(0, 1).start().await;
+    let cluster = ClusterConfig::new(0, 1).start().await;
     let red = add_operator(&cluster, "o-red", "red");
     let blue = add_operator(&cluster, "o-blue", "blue");
     let version = cluster.change(vec![("group/blue".to_owned(), json!({ "parent": "top" }))]).await;
@@ -127,9 +127,9 @@
 
 #[tokio::test]
 async fn operators_that_race_with_lost_answers_lose_and_double_no_change() {
-    let mut cluster = Plan::new(0, 0).start_bare().await;
+    let mut cluster = ClusterConfig::new(0, 0).start_bare().await;
     let other = cluster.add_admin().await;
-    cluster.store_fault(json!({ "lose": 4, "lose_prefix": "config/" })).await;
+    cluster.set_store_fault(json!({ "lose": 4, "lose_prefix": "config/" })).await;
     // Two on the same row and two on rows of their own, through two admins.
     let counts = tokio::join!(
         count_up(cluster.admin, "same", 8),
@@ -159,7 +159,7 @@
 
 #[tokio::test]
 async fn settings_are_compared_undone_and_traced_by_the_command_line() {
-    let cluster = Plan::new(0, 0).start_bare().await;
+    let cluster = ClusterConfig::new(0, 0).start_bare().await;
     let row = |queue: u64| json!({ "settings": { "queue": queue } });
     for queue in [5, 6] {
         cluster.change(vec![("group/top".to_owned(), row(queue))]).await;
@@ -181,16 +181,16 @@
 
 #[tokio::test]
 async fn a_fresh_host_takes_the_newest_version_from_its_peers_while_the_store_is_down() {
-    let mut cluster = Plan::new(2, 1).start().await;
+    let mut cluster = ClusterConfig::new(2, 1).start().await;
     let row = json!({ "parent": "top", "settings": { "queue": 77 } });
     let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
-    cluster.in_force(version).await;
-    cluster.store_fault(json!({ "hang": true })).await;
+    cluster.wait_in_force(version).await;
+    cluster.set_store_fault(json!({ "hang": true })).await;
     cluster.add_host();
     let ops = cluster.hosts[2].entry_ops;
     let mut seen = 0;
     eventually("the fresh host has the newest version", async || {
-        let now = state(ops).await["version"].as_u64().unwrap_or_default();
+        let now = fetch_state(ops).await["version"].as_u64().unwrap_or_default();
         assert!(now >= seen, "the version went back from {seen} to {now}");
         seen = now;
         (now == version).then_some(())
--- a/reachhead/tests/system/outcomes.rs
+++ b/reachhead/tests/system/outcomes.rs
@@ -12,7 +12,7 @@
 
 use reachhead_harness::{
     Call, Cluster,
-    cluster::{Plan, state},
+    cluster::{ClusterConfig, fetch_state},
     eventually,
 };
 
@@ -43,7 +43,7 @@
 
 #[tokio::test]
 async fn bad_framing_gets_a_clear_refusal_and_harms_nobody_else() {
-    let cluster = Plan::new(1, 1)
+    let cluster = ClusterConfig::new(1, 1)
         .with_entry(json!({ "callers": { "head_time": 700, "body_time": 700, "head": 8192 } }))
         .start()
         .await;
@@ -99,7 +99,7 @@
 
 #[tokio::test]
 async fn a_body_cut_at_any_offset_is_never_taken_for_whole() {
-    let cluster = Plan::new(1, 1)
+    let cluster = ClusterConfig::new(1, 1)
         .with_entry(json!({ "minions": { "whole": 64, "sends": 1 } }))
         .with_deadline(5000)
         .start()
@@ -109,15 +109,15 @@
         for chunked in [false, true] {
             for cut in 0..=size {
                 let mut request = Call::post("/red/alpha", "")
-                    .with_field("standin-size", size)
-                    .with_field("standin-cut", cut);
+                    .with_header("standin-size", size)
+                    .with_header("standin-cut", cut);
                 if chunked {
-                    request = request.with_field("standin-chunked", 1);
+                    request = request.with_header("standin-chunked", 1);
                 }
                 let reply = cluster.call(0, &request).await;
                 let is_length = !chunked && cut == size;
                 assert!(
-                    is_length || reply.status != 200 || !reply.is_whole,
+                    is_length || reply.status != 200 || !reply.is_complete,
                     "size {size}, chunked {chunked}, cut {cut}: {reply:?}"
                 );
                 if reply.status == 502 {
@@ -126,9 +126,9 @@
             }
         }
     }
-    let whole = Call::get("/red/alpha").with_field("standin-size", 200);
+    let whole = Call::get("/red/alpha").with_header("standin-size", 200);
     let reply = cluster.call(0, &whole).await;
-    assert_eq!((reply.status, reply.body.len(), reply.is_whole), (200, 200, true));
+    assert_eq!((reply.status, reply.body.len(), reply.is_complete), (200, 200, true));
 }
 
 /// Starts a minion that answers every request with the same bytes and then closes, or not.
@@ -154,13 +154,14 @@
 }
 
 async fn with_scripted(answer: &'static [u8], closes: bool) -> Cluster {
-    let cluster = Plan::new(1, 0).with_entry(json!({ "minions": { "sends": 1 } })).start().await;
+    let cluster =
+        ClusterConfig::new(1, 0).with_entry(json!({ "minions": { "sends": 1 } })).start().await;
     let address = scripted(cluster.hosts[0].callers.ip(), answer, closes).await;
     let row = json!({ "address": address, "zone": "z1" });
     let version = cluster.change(vec![("minion/alpha/m0".to_owned(), row)]).await;
-    cluster.in_force(version).await;
+    cluster.wait_in_force(version).await;
     eventually("the host has its share", async || {
-        let state = state(cluster.hosts[0].entry_ops).await;
+        let state = fetch_state(cluster.hosts[0].entry_ops).await;
         (state["services"][0]["minions"][0]["limit"] == 8).then_some(())
     })
     .await;
@@ -194,13 +195,13 @@
 
 #[tokio::test]
 async fn a_late_answer_reaches_nobody_and_the_wait_ends_at_the_deadline() {
-    let cluster = Plan::new(1, 1).with_deadline(800).start().await;
-    let late = Call::post("/red/alpha", "late").with_field("standin-work", 1200);
+    let cluster = ClusterConfig::new(1, 1).with_deadline(800).start().await;
+    let late = Call::post("/red/alpha", "late").with_header("standin-work", 1200);
     let started = Instant::now();
     let reply = cluster.call(0, &late).await;
     assert_eq!((reply.status, reply.error(), reply.outcome()), (504, "minion-timeout", "unknown"));
     assert!(started.elapsed() < Duration::from_millis(1150), "the answer was held back");
-    assert_eq!(reply.field("retry-after"), "1");
+    assert_eq!(reply.header("retry-after"), "1");
     for _ in 0..20 {
         let reply = cluster.call(0, &Call::post("/red/alpha", "mine")).await;
         assert!(reply.body.ends_with("mine"), "{reply:?}");
@@ -210,7 +211,7 @@
 
 #[tokio::test]
 async fn a_refusal_reaches_a_caller_that_is_still_sending() {
-    let cluster = Plan::new(1, 1).start().await;
+    let cluster = ClusterConfig::new(1, 1).start().await;
     let large = Call::post("/red/alpha", &"x".repeat(16 << 20));
     for round in 0..20 {
         let reply = cluster.call(0, &large).await;
@@ -223,12 +224,12 @@
     // More than the buffers of all sockets on the way hold.
     let size = 50_000_000;
     let stalled = json!({ "callers": { "stall_time": 500 } });
-    let cluster = Plan::new(1, 1).with_entry(stalled).with_deadline(5000).start().await;
+    let cluster = ClusterConfig::new(1, 1).with_entry(stalled).with_deadline(5000).start().await;
     let mut stream = TcpStream::connect(cluster.hosts[0].callers).await.unwrap();
     let head = format!("GET /red/alpha HTTP/1.1\r\nHost: a\r\nstandin-size: {size}\r\n\r\n");
     stream.write_all(head.as_bytes()).await.unwrap();
     let running = async || {
-        let state = state(cluster.hosts[0].entry_ops).await;
+        let state = fetch_state(cluster.hosts[0].entry_ops).await;
         state["services"][0]["minions"][0]["running"].as_u64().unwrap()
     };
     eventually("the answer is on its way", async || (running().await == 1).then_some(())).await;
@@ -240,7 +241,7 @@
 
 #[tokio::test]
 async fn frozen_and_killed_minions_are_left_alone_and_come_back() {
-    let mut cluster = Plan::new(1, 3).with_deadline(1000).start().await;
+    let mut cluster = ClusterConfig::new(1, 3).with_deadline(1000).start().await;
     cluster.minions[0].process.signal(Signal::SIGSTOP);
     cluster.minions[1].process.kill();
     // Repeatable requests find the third minion; a few may run into the frozen one first.
--- a/reachhead/tests/system/path.rs
+++ b/reachhead/tests/system/path.rs
@@ -4,12 +4,12 @@
 
 use reachhead_harness::{
     Call,
-    cluster::{Plan, state},
+    cluster::{ClusterConfig, fetch_state},
 };
 
 #[tokio::test]
 async fn requests_for_two_services_are_answered_whole_by_every_host() {
-    let cluster = Plan::new(3, 3).start().await;
+    let cluster = ClusterConfig::new(3, 3).start().await;
     for host in 0..3 {
         for (path, key) in [("/red/alpha/x?y=1", ""), ("/blue/beta", "k"), ("/red/pay/7", "p")] {
             let request = Call::post(path, "hello").with_key(&format!("{key}{host}"));
@@ -20,16 +20,16 @@
             assert!(reply.body.ends_with(&format!("{path} hello")), "{reply:?}");
         }
     }
-    let state = state(cluster.hosts[0].entry_ops).await;
+    let state = fetch_state(cluster.hosts[0].entry_ops).await;
     assert_eq!(state["services"].as_array().unwrap().len(), 2);
 }
 
 #[tokio::test]
 async fn a_change_reaches_every_host_and_a_faulty_one_none() {
-    let cluster = Plan::new(3, 2).start().await;
+    let cluster = ClusterConfig::new(3, 2).start().await;
     let row = json!({ "path": "/new", "group": "red", "service": "beta" });
     let version = cluster.change(vec![("route/new".to_owned(), row)]).await;
-    cluster.in_force(version).await;
+    cluster.wait_in_force(version).await;
     for host in 0..3 {
         assert_eq!(cluster.call(host, &Call::get("/new/path")).await.status, 200);
     }
@@ -46,13 +46,13 @@
 
 #[tokio::test]
 async fn the_system_names_the_kind_and_the_outcome_of_its_own_answers() {
-    let cluster = Plan::new(1, 1).start().await;
+    let cluster = ClusterConfig::new(1, 1).start().await;
     let cases = [
         (Call::get("/nowhere"), 404, "no-route"),
         (Call::post("/red/pay", "x"), 400, "key-missing"),
         (Call::post("/red/pay", "x").with_key(&"k".repeat(300)), 400, "malformed"),
         (Call::post("/red/pay", "x").with_key("a").with_key("b"), 400, "malformed"),
-        (Call::get("/red/alpha").with_field("reachhead-deadline-ms", "soon"), 400, "malformed"),
+        (Call::get("/red/alpha").with_header("reachhead-deadline-ms", "soon"), 400, "malformed"),
         (Call::post("/red/alpha", &"x".repeat(2 << 20)), 413, "body-too-large"),
     ];
     for (request, status, kind) in cases {
@@ -65,10 +65,10 @@
 
 #[tokio::test]
 async fn wrong_tokens_get_nothing_from_the_admin() {
-    let cluster = Plan::new(0, 0).start().await;
+    let cluster = ClusterConfig::new(0, 0).start().await;
     for request in [
         Call::get("/v1/rows"),
-        Call::get("/v1/rows").with_field("authorization", "Bearer wrong"),
+        Call::get("/v1/rows").with_header("authorization", "Bearer wrong"),
         Call::post("/v1/changes", "{}"),
     ] {
         let reply = reachhead_harness::call(cluster.admin, &request).await;
--- a/reachhead/tests/system/pools.rs
+++ b/reachhead/tests/system/pools.rs
@@ -6,13 +6,13 @@
 use serde_json::{Value, json};
 use tokio::time;
 
-use reachhead_harness::{Call, Cluster, cluster::Plan, eventually};
+use reachhead_harness::{Call, Cluster, cluster::ClusterConfig, eventually};
 
 const HOSTS: [&str; 3] = ["h1", "h2", "h3"];
 
 /// Starts `hosts` entry hosts with the pools main and spare, and three workers in main.
 async fn with_workers(hosts: usize) -> Cluster {
-    let cluster = Plan::new(hosts, 0).start().await;
+    let cluster = ClusterConfig::new(hosts, 0).start().await;
     cluster.change(vec![("pool/spare".to_owned(), json!({ "group": "top" }))]).await;
     for host in HOSTS {
         cluster.add_worker(host, "main").await;
@@ -21,7 +21,7 @@
 }
 
 async fn worker(cluster: &Cluster, host: &str) -> Value {
-    cluster.read(&format!("/v1/hosts/{host}")).await["row"].take()
+    cluster.admin_get(&format!("/v1/hosts/{host}")).await["row"].take()
 }
 
 /// Waits until a host is in `phase` in `pool`.
@@ -36,7 +36,7 @@
 /// Returns the index of the entry host in charge of `pool`.
 async fn in_charge(cluster: &Cluster, pool: &str) -> usize {
     eventually(&format!("someone is in charge of {pool}"), async || {
-        let pools = cluster.read("/v1/pools").await;
+        let pools = cluster.admin_get("/v1/pools").await;
         let pool = pools.as_array()?.iter().find(|row| row["pool"] == pool)?.clone();
         let owner = pool["owner"].as_str()?;
         cluster.hosts.iter().position(|host| host.name == owner)
@@ -48,7 +48,7 @@
 async fn assert_one_pool_each(cluster: &Cluster) {
     let mut found: BTreeMap<String, Vec<&str>> = BTreeMap::new();
     for pool in ["main", "spare"] {
-        let hosts = cluster.read(&format!("/v1/hosts?pool={pool}")).await;
+        let hosts = cluster.admin_get(&format!("/v1/hosts?pool={pool}")).await;
         for host in hosts.as_array().unwrap() {
             found.entry(host["id"].as_str().unwrap().to_owned()).or_default().push(pool);
         }
@@ -60,18 +60,18 @@
 #[tokio::test]
 async fn a_host_moves_when_it_is_empty_and_not_before() {
     let cluster = with_workers(2).await;
-    cluster.set_host(json!({ "host": "h1", "running": 1 })).await;
+    cluster.set_host_state(json!({ "host": "h1", "running": 1 })).await;
     cluster.move_worker("h1", "spare").await;
     is_in(&cluster, "h1", "main", "draining").await;
     // Longer than the time for which it must be seen drained.
     time::sleep(Duration::from_secs(2)).await;
     is_in(&cluster, "h1", "main", "draining").await;
-    cluster.set_host(json!({ "host": "h1", "running": 0 })).await;
+    cluster.set_host_state(json!({ "host": "h1", "running": 0 })).await;
     is_in(&cluster, "h1", "spare", "serving").await;
     assert_eq!(worker(&cluster, "h1").await["epoch"], 1);
     assert_one_pool_each(&cluster).await;
     // A move that is taken back leaves the host serving where it is.
-    cluster.set_host(json!({ "host": "h2", "running": 1 })).await;
+    cluster.set_host_state(json!({ "host": "h2", "running": 1 })).await;
     cluster.move_worker("h2", "spare").await;
     is_in(&cluster, "h2", "main", "draining").await;
     cluster.move_worker("h2", "main").await;
@@ -86,7 +86,7 @@
 #[tokio::test]
 async fn an_owner_that_is_frozen_past_its_lease_moves_nothing_twice() {
     let cluster = with_workers(3).await;
-    cluster.set_host(json!({ "host": "h1", "running": 1 })).await;
+    cluster.set_host_state(json!({ "host": "h1", "running": 1 })).await;
     cluster.move_worker("h1", "spare").await;
     is_in(&cluster, "h1", "main", "draining").await;
     let frozen = in_charge(&cluster, "main").await;
@@ -95,7 +95,7 @@
         (in_charge(&cluster, "main").await != frozen).then_some(())
     })
     .await;
-    cluster.set_host(json!({ "host": "h1", "running": 0 })).await;
+    cluster.set_host_state(json!({ "host": "h1", "running": 0 })).await;
     is_in(&cluster, "h1", "spare", "serving").await;
     // What the thawed one still believes must not undo the move, nor the next one.
     cluster.move_worker("h2", "spare").await;
@@ -112,13 +112,13 @@
 async fn owners_killed_between_every_two_steps_of_a_move_lose_nothing() {
     let mut cluster = with_workers(4).await;
     // Before the drain: the row says so, and the platform does not know yet.
-    cluster.store_fault(json!({ "refuse_hosts": true })).await;
+    cluster.set_store_fault(json!({ "refuse_hosts": true })).await;
     cluster.move_worker("h1", "spare").await;
     is_in(&cluster, "h1", "main", "draining").await;
     let owner = in_charge(&cluster, "main").await;
     cluster.hosts[owner].control.kill();
-    cluster.set_host(json!({ "host": "h1", "running": 1 })).await;
-    cluster.store_fault(json!({})).await;
+    cluster.set_host_state(json!({ "host": "h1", "running": 1 })).await;
+    cluster.set_store_fault(json!({})).await;
     // Between the drain and the hand-over.
     eventually("another is in charge", async || {
         (in_charge(&cluster, "main").await != owner).then_some(())
@@ -136,12 +136,12 @@
     let owner = in_charge(&cluster, "main").await;
     cluster.hosts[owner].control.kill();
     // Between the hand-over and the end of the drain.
-    cluster.store_fault(json!({ "refuse_hosts": true })).await;
-    cluster.set_host(json!({ "host": "h1", "running": 0 })).await;
+    cluster.set_store_fault(json!({ "refuse_hosts": true })).await;
+    cluster.set_host_state(json!({ "host": "h1", "running": 0 })).await;
     is_in(&cluster, "h1", "spare", "arriving").await;
     let owner = in_charge(&cluster, "spare").await;
     cluster.hosts[owner].control.kill();
-    cluster.store_fault(json!({})).await;
+    cluster.set_store_fault(json!({})).await;
     is_in(&cluster, "h1", "spare", "serving").await;
     assert_eq!(worker(&cluster, "h1").await["epoch"], 1);
     assert_one_pool_each(&cluster).await;
@@ -154,9 +154,9 @@
         cluster.move_worker(host, "spare").await;
     }
     is_in(&cluster, "h1", "main", "draining").await;
-    cluster.store_fault(json!({ "hang": true })).await;
+    cluster.set_store_fault(json!({ "hang": true })).await;
     time::sleep(Duration::from_secs(3)).await;
-    cluster.store_fault(json!({ "lose": 4, "lose_prefix": "host/" })).await;
+    cluster.set_store_fault(json!({ "lose": 4, "lose_prefix": "host/" })).await;
     for host in HOSTS {
         is_in(&cluster, host, "spare", "serving").await;
         assert_eq!(worker(&cluster, host).await["epoch"], 1);
--- a/reachhead/tests/system/replacement.rs
+++ b/reachhead/tests/system/replacement.rs
@@ -7,7 +7,7 @@
 
 use reachhead_harness::{
     Call, Cluster, call,
-    cluster::{Plan, ready, state},
+    cluster::{ClusterConfig, fetch_state, wait_ready},
     eventually,
 };
 
@@ -15,11 +15,11 @@
 
 #[tokio::test]
 async fn every_entry_host_is_replaced_under_load_without_a_failed_request() {
-    let mut cluster = Plan::new(3, 2).with_work(5).start().await;
+    let mut cluster = ClusterConfig::new(3, 2).with_work(5).start().await;
     let load = Load::start(&cluster);
     for old in 0..3 {
         cluster.add_host();
-        ready(cluster.hosts[3 + old].entry_ops).await;
+        wait_ready(cluster.hosts[3 + old].entry_ops).await;
         load.add(&cluster);
         time::sleep(BALANCER_LAG * 4).await;
         assert!(cluster.hosts[old].entry.stop().await.success());
@@ -32,7 +32,7 @@
 
 #[tokio::test]
 async fn every_minion_is_replaced_under_load_without_a_failed_request() {
-    let mut cluster = Plan::new(3, 2).with_work(5).start().await;
+    let mut cluster = ClusterConfig::new(3, 2).with_work(5).start().await;
     let load = Load::start(&cluster);
     let old = cluster.minions.len();
     for index in 0..old {
@@ -41,12 +41,12 @@
         let new = cluster.minion_row(cluster.minions.last().unwrap(), "serving");
         let leaving = cluster.minion_row(&cluster.minions[index], "leaving");
         let version = cluster.change(vec![new, leaving.clone()]).await;
-        cluster.in_force(version).await;
+        cluster.wait_in_force(version).await;
         let id = cluster.minions[index].id.clone();
         eventually("nothing runs there any more", async || {
             let mut running = 0;
             for host in &cluster.hosts {
-                running += running_at(&state(host.entry_ops).await, &service, &id);
+                running += running_at(&fetch_state(host.entry_ops).await, &service, &id);
             }
             (running == 0).then_some(())
         })
@@ -75,11 +75,11 @@
 
 #[tokio::test]
 async fn a_host_changes_its_pool_under_load_without_a_failed_request() {
-    let cluster = Plan::new(2, 2).with_work(5).start().await;
+    let cluster = ClusterConfig::new(2, 2).with_work(5).start().await;
     cluster.place_minions(2).await;
     cluster.change(vec![("pool/spare".to_owned(), json!({ "group": "top" }))]).await;
     cluster.add_worker("w0", "main").await;
-    cluster.set_host(json!({ "host": "w0", "running": 1 })).await;
+    cluster.set_host_state(json!({ "host": "w0", "running": 1 })).await;
     let load = Load::start(&cluster);
     cluster.move_worker("w0", "spare").await;
     let ran = async || cluster.minion_counts(0).await["ran"].as_u64().unwrap();
@@ -90,9 +90,9 @@
     })
     .await;
     let drained = ran().await;
-    cluster.set_host(json!({ "host": "w0", "running": 0 })).await;
+    cluster.set_host_state(json!({ "host": "w0", "running": 0 })).await;
     eventually("the host is in the other pool", async || {
-        (cluster.read("/v1/hosts/w0").await["row"]["pool"] == "spare").then_some(())
+        (cluster.admin_get("/v1/hosts/w0").await["row"]["pool"] == "spare").then_some(())
     })
     .await;
     assert_eq!(ran().await, drained, "it was handed over while it had work");
@@ -102,7 +102,7 @@
 
 #[tokio::test]
 async fn a_leaving_host_on_a_stale_list_gets_no_new_work() {
-    let cluster = Plan::new(2, 2).start().await;
+    let cluster = ClusterConfig::new(2, 2).start().await;
     cluster.place_minions(2).await;
     set_hosts(&cluster, 1, "live").await;
     let load = Load::start(&cluster);
@@ -111,7 +111,7 @@
     })
     .await;
     // From here on every other read of the list is an old one that says "live".
-    cluster.store_fault(json!({ "stale": true })).await;
+    cluster.set_store_fault(json!({ "stale": true })).await;
     set_hosts(&cluster, 2, "leaving").await;
     time::sleep(Duration::from_secs(3)).await;
     let ran = [0, 2].map(|index| cluster.minion_counts(index));
@@ -134,11 +134,11 @@
 
 #[tokio::test]
 async fn a_shutdown_finishes_long_and_streaming_answers() {
-    let mut cluster = Plan::new(1, 1).with_deadline(5000).start().await;
+    let mut cluster = ClusterConfig::new(1, 1).with_deadline(5000).start().await;
     let address = cluster.hosts[0].callers;
-    let long = Call::get("/red/alpha").with_field("standin-work", 1500);
-    let large = Call::get("/red/alpha").with_field("standin-work", 500);
-    let large = large.with_field("standin-size", 3_000_000);
+    let long = Call::get("/red/alpha").with_header("standin-work", 1500);
+    let large = Call::get("/red/alpha").with_header("standin-work", 500);
+    let large = large.with_header("standin-size", 3_000_000);
     let calls =
         [long, large].map(|request| tokio::spawn(async move { call(address, &request).await }));
     eventually("both run", async || (cluster.minion_counts(0).await["running"] == 2).then_some(()))
@@ -146,7 +146,7 @@
     assert!(cluster.hosts[0].entry.stop().await.success());
     for finished in calls {
         let reply = finished.await.unwrap();
-        assert_eq!((reply.status, reply.is_whole), (200, true));
-        assert_eq!(reply.field("connection"), "close");
+        assert_eq!((reply.status, reply.is_complete), (200, true));
+        assert_eq!(reply.header("connection"), "close");
     }
 }
--- a/reachhead/tests/system/settings.rs
+++ b/reachhead/tests/system/settings.rs
@@ -7,7 +7,7 @@
     process::{Command, Output},
 };
 
-use reachhead_harness::process::program;
+use reachhead_harness::process::program_path;
 
 /// Exit code of settings with faults.
 const EXIT_SETTINGS: i32 = 3;
@@ -22,7 +22,7 @@
 }
 
 fn run(name: &str, args: &[&str]) -> Output {
-    Command::new(program(name)).args(args).env("NO_COLOR", "1").output().unwrap()
+    Command::new(program_path(name)).args(args).env("NO_COLOR", "1").output().unwrap()
 }
 
 #[test]
--- a/reachhead/tests/system/waves.rs
+++ b/reachhead/tests/system/waves.rs
@@ -7,7 +7,7 @@
 
 use reachhead_harness::{
     Call, Cluster, call,
-    cluster::{Plan, random_id},
+    cluster::{ClusterConfig, random_id},
     eventually,
 };
 
@@ -16,7 +16,7 @@
 /// Starts a system with a minion of each service on each of `workers` hosts, the last of which is in a
 /// pool of its own; `limit` minions of a service may be away.
 async fn with_workers(hosts: usize, workers: usize, limit: u64) -> Cluster {
-    let cluster = Plan::new(hosts, workers).with_work(5).start().await;
+    let cluster = ClusterConfig::new(hosts, workers).with_work(5).start().await;
     let service = |group: &str| json!({ "group": group, "pool": "main", "max_unavailable": limit });
     cluster
         .change(vec![
@@ -47,7 +47,7 @@
 
 /// Returns the hosts of the wave by name.
 async fn hosts(cluster: &Cluster) -> BTreeMap<String, Value> {
-    let waves = cluster.read("/v1/waves/wave-1").await;
+    let waves = cluster.admin_get("/v1/waves/wave-1").await;
     let waves = waves.as_array().unwrap();
     let hosts = waves.iter().flat_map(|wave| wave["hosts"].as_array().unwrap());
     hosts.map(|host| (host["host"].as_str().unwrap().to_owned(), host.clone())).collect()
@@ -98,7 +98,7 @@
     let cluster = with_workers(2, 4, 2).await;
     // The two that go first are kept from being empty.
     for host in ["w0", "w1"] {
-        cluster.set_host(json!({ "host": host, "running": 1 })).await;
+        cluster.set_host_state(json!({ "host": host, "running": 1 })).await;
     }
     // One pool alone, so that it is known which host goes first.
     start_wave(&cluster, &["main"]).await;
@@ -107,7 +107,7 @@
     })
     .await;
     for host in ["w2", "w3"] {
-        cluster.set_host(json!({ "host": host, "is_up": false })).await;
+        cluster.set_host_state(json!({ "host": host, "is_up": false })).await;
     }
     eventually("the drains are taken back", async || {
         (away(&hosts(&cluster).await) == 0).then_some(())
@@ -121,7 +121,7 @@
     let held = hosts(&cluster).await["w0"]["hold"].as_str().unwrap_or_default().to_owned();
     assert!(held.contains("budget of service"), "{held}");
     for host in ["w0", "w1", "w2", "w3"] {
-        cluster.set_host(json!({ "host": host, "is_up": true, "running": 0 })).await;
+        cluster.set_host_state(json!({ "host": host, "is_up": true, "running": 0 })).await;
     }
     finish(&cluster, 2).await;
     assert_eq!(boots(&cluster, 4).await, [1, 1, 1, 0]);
@@ -130,24 +130,24 @@
 #[tokio::test]
 async fn a_wave_outlives_its_owner_and_a_store_outage() {
     let mut cluster = with_workers(4, 3, 1).await;
-    cluster.set_host(json!({ "host": "w0", "running": 1 })).await;
+    cluster.set_host_state(json!({ "host": "w0", "running": 1 })).await;
     start_wave(&cluster, &["main", "spare"]).await;
     eventually("a host is drained", async || {
         (hosts(&cluster).await["w0"]["phase"] == "draining").then_some(())
     })
     .await;
-    let pools = cluster.read("/v1/pools").await;
+    let pools = cluster.admin_get("/v1/pools").await;
     let main = pools.as_array().unwrap().iter().find(|pool| pool["pool"] == "main").unwrap();
     let owner = main["owner"].as_str().unwrap();
     let owner = cluster.hosts.iter().position(|host| host.name == owner).unwrap();
     cluster.hosts[owner].control.kill();
     // Only the host that is drained keeps the budget, so nothing else can go on before the outage.
     let before = boots(&cluster, 3).await;
-    cluster.store_fault(json!({ "hang_rows": true })).await;
-    cluster.set_host(json!({ "host": "w0", "running": 0 })).await;
+    cluster.set_store_fault(json!({ "hang_rows": true })).await;
+    cluster.set_host_state(json!({ "host": "w0", "running": 0 })).await;
     time::sleep(Duration::from_secs(3)).await;
     assert_eq!(boots(&cluster, 3).await, before, "planned work went on blindly");
-    cluster.store_fault(json!({ "lose": 3, "lose_prefix": "host/" })).await;
+    cluster.set_store_fault(json!({ "lose": 3, "lose_prefix": "host/" })).await;
     finish(&cluster, 1).await;
     assert_eq!(boots(&cluster, 3).await, [1, 1, 1]);
 }
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn a_wave_is_paused_resumed_and_cancelled_and_says_what_holds_it() {
     let cluster = with_workers(2, 3, 1).await;
-    cluster.set_host(json!({ "host": "w0", "running": 2 })).await;
+    cluster.set_host_state(json!({ "host": "w0", "running": 2 })).await;
     // One pool alone, so that it is known which host goes first.
     start_wave(&cluster, &["main"]).await;
     eventually("the wave says what holds it", async || {
@@ -167,7 +167,7 @@
     })
     .await;
     set_state(&cluster, "paused").await;
-    cluster.set_host(json!({ "host": "w0", "running": 0 })).await;
+    cluster.set_host_state(json!({ "host": "w0", "running": 0 })).await;
     eventually("what is under way is finished", async || {
         (done(&hosts(&cluster).await) == 1).then_some(())
     })
@@ -175,7 +175,7 @@
     time::sleep(Duration::from_secs(1)).await;
     assert_eq!(away(&hosts(&cluster).await), 0, "nothing new is begun");
     for host in ["w1", "w2"] {
-        cluster.set_host(json!({ "host": host, "running": 1 })).await;
+        cluster.set_host_state(json!({ "host": host, "running": 1 })).await;
     }
     set_state(&cluster, "running").await;
     eventually("the next one sets out", async || (away(&hosts(&cluster).await) == 1).then_some(()))
--- a/reachhead_bench/src/capacity/hosts.rs
+++ b/reachhead_bench/src/capacity/hosts.rs
@@ -4,7 +4,7 @@
 
 use reachhead_harness::{
     Call,
-    cluster::{Cluster, Plan},
+    cluster::{Cluster, ClusterConfig},
     eventually,
     process::Process,
 };
@@ -70,9 +70,9 @@
 }
 
 async fn measure(hosts: usize) -> Measured {
-    let mut cluster = Plan::new(0, 0).with_control(rows::production()).start_bare().await;
+    let mut cluster = ClusterConfig::new(0, 0).with_control(rows::production()).start_bare().await;
     cluster.configure().await;
-    let controls: Vec<Process> = (0..hosts).map(|_| cluster.add_control()).collect();
+    let controls: Vec<Process> = (0..hosts).map(|_| cluster.add_control_process()).collect();
     all_have(&cluster, hosts, 1).await;
     // Long enough for the periods to have grown to the fleet.
     time::sleep(Duration::from_secs(3)).await;
--- a/reachhead_bench/src/capacity/pools.rs
+++ b/reachhead_bench/src/capacity/pools.rs
@@ -4,7 +4,7 @@
 
 use reachhead_harness::{
     Call,
-    cluster::{Cluster, Plan},
+    cluster::{Cluster, ClusterConfig},
     eventually,
     process::Process,
 };
@@ -78,16 +78,16 @@
     let mut control = rows::production();
     // A wave of one batch, so that its cost and not its length is measured.
     control["pools"]["batch"] = json!(HOSTS);
-    let mut cluster = Plan::new(0, 0).with_control(control).start_bare().await;
+    let mut cluster = ClusterConfig::new(0, 0).with_control(control).start_bare().await;
     cluster.configure().await;
     let pool = |number: usize| (format!("pool/p{number}"), json!({ "group": "top" }));
     cluster.change((0..pools).map(pool).collect()).await;
     for number in 0..pools * HOSTS {
         cluster.add_worker(&format!("w{number}"), &format!("p{}", number / HOSTS)).await;
     }
-    let control = cluster.add_control();
+    let control = cluster.add_control_process();
     eventually("the control is in charge of all pools", async || {
-        let found = cluster.read("/v1/pools").await;
+        let found = cluster.admin_get("/v1/pools").await;
         found.as_array()?.iter().all(|pool| pool["owner"].is_string()).then_some(())
     })
     .await;
@@ -112,7 +112,7 @@
         // The looks are a load too, so they are few and taken off below.
         time::sleep(Duration::from_secs(1)).await;
         looks += 1.0;
-        let hosts = cluster.read("/v1/hosts?pool=p0").await;
+        let hosts = cluster.admin_get("/v1/hosts?pool=p0").await;
         let is_done =
             |host: &Value| host["row"]["done"] == "wave-1" && host["row"]["phase"] == "serving";
         hosts.as_array()?.iter().all(is_done).then_some(())
--- a/reachhead_bench/src/capacity/rows.rs
+++ b/reachhead_bench/src/capacity/rows.rs
@@ -4,7 +4,7 @@
 
 use reachhead_harness::{
     Call,
-    cluster::{Cluster, Plan},
+    cluster::{Cluster, ClusterConfig},
     eventually,
     process::{Process, Usage},
 };
@@ -67,14 +67,14 @@
 
 async fn measure(minions: usize) -> Measured {
     let entry = json!({ "link": { "period": 250 } });
-    let plan = Plan::new(0, 0).with_control(production()).with_entry(entry);
+    let plan = ClusterConfig::new(0, 0).with_control(production()).with_entry(entry);
     let mut cluster = plan.start_bare().await;
     cluster.configure().await;
     let rows = rows(minions);
     let count = rows.len() + cluster_rows();
     let version = cluster.change(rows).await;
     cluster.add_host();
-    cluster.in_force(version).await;
+    cluster.wait_in_force(version).await;
     tokio::time::sleep(SETTLE).await;
     let host = &cluster.hosts[0];
     let (control_rest, entry_rest) = rest(&host.control, &host.entry).await;
--- a/reachhead_bench/src/path/claims.rs
+++ b/reachhead_bench/src/path/claims.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachhead_harness::cluster::{Cluster, Plan};
+use reachhead_harness::cluster::{Cluster, ClusterConfig};
 use serde_json::{Value, json};
 
 use crate::load::{self, Outcome, Stream};
@@ -21,10 +21,10 @@
 
 /// Measures with batches as set by default, and with one transaction for each claim and record.
 pub async fn run() -> Value {
-    let unkeyed = measure(Plan::new(1, 4), false, RATE).await;
-    let batched = measure(Plan::new(1, 4), true, RATE).await;
+    let unkeyed = measure(ClusterConfig::new(1, 4), false, RATE).await;
+    let batched = measure(ClusterConfig::new(1, 4), true, RATE).await;
     let single = json!({ "claims": { "linger": 0, "batch": 1 }, "store": { "rate": 100_000 } });
-    let naive = measure(Plan::new(1, 4).with_entry(single), true, NAIVE_RATE).await;
+    let naive = measure(ClusterConfig::new(1, 4).with_entry(single), true, NAIVE_RATE).await;
     let added = |measured: &Measured| {
         let store = STORE_DELAY as f64;
         (measured.outcome.quantile(0.5) - unkeyed.outcome.quantile(0.5) - store).max(0.0)
@@ -53,9 +53,9 @@
     }
 }
 
-async fn measure(plan: Plan, is_keyed: bool, rate: f64) -> Measured {
+async fn measure(plan: ClusterConfig, is_keyed: bool, rate: f64) -> Measured {
     let cluster = plan.start().await;
-    cluster.store_fault(json!({ "delay": STORE_DELAY })).await;
+    cluster.set_store_fault(json!({ "delay": STORE_DELAY })).await;
     let quiet = commits(&cluster).await;
     tokio::time::sleep(LENGTH).await;
     // What the members' rows cost meanwhile is no part of the requests.
--- a/reachhead_bench/src/path/fairness.rs
+++ b/reachhead_bench/src/path/fairness.rs
@@ -2,7 +2,7 @@
 
 use std::{io, thread, time::Duration};
 
-use reachhead_harness::cluster::{Cluster, Plan};
+use reachhead_harness::cluster::{Cluster, ClusterConfig};
 use serde_json::{Value, json};
 
 use tokio::runtime::Builder;
@@ -33,7 +33,7 @@
 /// Measures the quiet group's latency alone, during the onset of the flood and beside it, by fair
 /// queue and by FIFO.
 pub async fn run() -> Value {
-    let fair = Plan::new(1, MINIONS).with_work(WORK).start().await;
+    let fair = ClusterConfig::new(1, MINIONS).with_work(WORK).start().await;
     json!({
         "fair": measure(&fair, "/blue/alpha", MOST_WORK).await,
         // The naive version is one queue for all: both streams come as the same group.
--- a/reachhead_bench/src/path/mod.rs
+++ b/reachhead_bench/src/path/mod.rs
@@ -30,7 +30,7 @@
 
 /// Runs one measurement, or all.
 pub async fn run(only: Option<&str>) -> io::Result<Value> {
-    if let Some(missing) = PROGRAMS.iter().find(|name| process::built(name).is_none()) {
+    if let Some(missing) = PROGRAMS.iter().find(|name| process::find_program(name).is_none()) {
         let command = "cargo build --release --workspace --bins";
         return Err(io::Error::other(format!("{missing} is not built beside this: {command}")));
     }
--- a/reachhead_bench/src/path/overhead.rs
+++ b/reachhead_bench/src/path/overhead.rs
@@ -3,7 +3,7 @@
 use std::{env, net::SocketAddr, time::Duration};
 
 use reachhead_harness::{
-    cluster::{Cluster, Plan, free, listening},
+    cluster::{Cluster, ClusterConfig, free_address, wait_listening},
     process::Process,
 };
 use serde_json::{Value, json};
@@ -32,7 +32,7 @@
 
 /// Measures throughput per core-second in turn, then latency at half of the entry's capacity.
 pub async fn run() -> Value {
-    let cluster = Plan::new(1, MINIONS).start().await;
+    let cluster = ClusterConfig::new(1, MINIONS).start().await;
     let minions: Vec<SocketAddr> =
         cluster.minions.iter().filter(|m| m.service == "alpha").map(|m| m.address).collect();
     let (forwarder, forwarder_address) = start_forwarder(&cluster, &minions).await;
@@ -71,13 +71,13 @@
 }
 
 async fn start_forwarder(cluster: &Cluster, minions: &[SocketAddr]) -> (Process, SocketAddr) {
-    let address = free(cluster.store.ip());
+    let address = free_address(cluster.store.ip());
     let mut args = vec!["forwarder".to_owned(), "--address".to_owned(), address.to_string()];
     for minion in minions {
         args.extend(["--to".to_owned(), minion.to_string()]);
     }
     let process = Process::start(&env::temp_dir(), "forwarder", "reachhead-bench", &args);
-    listening(address).await;
+    wait_listening(address).await;
     (process, address)
 }
 
--- a/reachhead_bench/src/path/overload.rs
+++ b/reachhead_bench/src/path/overload.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachhead_harness::cluster::{Cluster, Plan};
+use reachhead_harness::cluster::{Cluster, ClusterConfig};
 use serde_json::{Map, Value, json};
 
 use crate::load::{self, Outcome, Stream};
@@ -32,7 +32,7 @@
 ///
 /// Good is what is answered within the callers' patience, which is the deadline of the first.
 pub async fn run() -> Value {
-    let plan = || Plan::new(1, MINIONS).with_work(WORK);
+    let plan = || ClusterConfig::new(1, MINIONS).with_work(WORK);
     let cluster = plan().with_deadline(DEADLINE).start().await;
     let capacity = load::closed_loop(&stream(&cluster), CALLERS, LENGTH).await.goodput();
     let shed = at_loads(&stream(&cluster), capacity).await;
@@ -42,7 +42,7 @@
     let plain = plan().with_deadline(DEADLINE).start().await;
     let group = json!({ "settings": { "deadline": ENDLESS, "queue": LONG_QUEUE } });
     let version = plain.change(vec![("group/top".to_owned(), group)]).await;
-    plain.in_force(version).await;
+    plain.wait_in_force(version).await;
     let naive = at_loads(&stream(&plain), capacity).await;
     json!({ "capacity_per_s": capacity.round(), "with_shedding": shed, "long_queue": naive })
 }
--- a/reachhead_bench/src/path/retries.rs
+++ b/reachhead_bench/src/path/retries.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use reachhead_harness::cluster::{Cluster, Plan};
+use reachhead_harness::cluster::{Cluster, ClusterConfig};
 use serde_json::{Value, json};
 
 use crate::load::{self, Stream};
@@ -24,14 +24,14 @@
 
 /// Measures with the retry budget and ejection, and with callers that simply send three times.
 pub async fn run() -> Value {
-    let cluster = Plan::new(1, MINIONS).start().await;
+    let cluster = ClusterConfig::new(1, MINIONS).start().await;
     let mut minions = Vec::new();
     for (index, minion) in cluster.minions.iter().enumerate() {
         if minion.service == "alpha" {
             minions.push(minion.address);
         }
         if minion.service == "alpha" && minions.len() <= BROKEN {
-            cluster.minion_fault(index, json!({ "drop": true })).await;
+            cluster.set_minion_fault(index, json!({ "drop": true })).await;
         }
     }
     let entry = measure(&cluster, vec![cluster.hosts[0].callers], 1).await;
--- a/reachhead_bench/src/path/skew.rs
+++ b/reachhead_bench/src/path/skew.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachhead_harness::cluster::{Cluster, Plan};
+use reachhead_harness::cluster::{Cluster, ClusterConfig};
 use serde_json::{Value, json};
 
 use crate::load::{self, Outcome, Stream};
@@ -35,8 +35,8 @@
     })
 }
 
-fn plan() -> Plan {
-    Plan::new(3, MINIONS).with_work(WORK).with_deadline(1000)
+fn plan() -> ClusterConfig {
+    ClusterConfig::new(3, MINIONS).with_work(WORK).with_deadline(1000)
 }
 
 async fn measure(cluster: Cluster) -> Outcome {
--- a/reachhead_harness/src/caller.rs
+++ b/reachhead_harness/src/caller.rs
@@ -16,7 +16,7 @@
 pub struct Call {
     method: &'static str,
     path: String,
-    fields: Vec<(String, String)>,
+    headers: Vec<(String, String)>,
     body: String,
 }
 
@@ -26,17 +26,17 @@
     /// HTTP status; 0 if no head came.
     pub status: u16,
     /// Header fields.
-    pub fields: BTreeMap<String, String>,
+    pub headers: BTreeMap<String, String>,
     /// The body as far as it came.
     pub body: String,
     /// Whether the body came whole.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 impl Call {
     /// Returns a GET of `path`.
     pub fn get(path: &str) -> Self {
-        Self { method: "GET", path: path.to_owned(), fields: Vec::new(), body: String::new() }
+        Self { method: "GET", path: path.to_owned(), headers: Vec::new(), body: String::new() }
     }
 
     /// Returns a POST of `body` to `path`.
@@ -45,35 +45,35 @@
     }
 
     /// Adds a header field.
-    pub fn with_field(mut self, name: &str, value: impl ToString) -> Self {
-        self.fields.push((name.to_owned(), value.to_string()));
+    pub fn with_header(mut self, name: &str, value: impl ToString) -> Self {
+        self.headers.push((name.to_owned(), value.to_string()));
         self
     }
 
     /// Adds an idempotency key.
     pub fn with_key(self, key: &str) -> Self {
-        self.with_field("idempotency-key", key)
+        self.with_header("idempotency-key", key)
     }
 }
 
 impl Reply {
     /// Returns a header field; empty if it is absent.
-    pub fn field(&self, name: &str) -> &str {
-        self.fields.get(name).map_or("", String::as_str)
+    pub fn header(&self, name: &str) -> &str {
+        self.headers.get(name).map_or("", String::as_str)
     }
 
     /// Returns what the system says became of the request.
     pub fn outcome(&self) -> &str {
-        self.field("reachhead-outcome")
+        self.header("reachhead-outcome")
     }
 
     /// Returns the kind of error that the system names.
     pub fn error(&self) -> &str {
-        self.field("reachhead-error")
+        self.header("reachhead-error")
     }
 
     fn broken() -> Self {
-        Self { status: 0, fields: BTreeMap::new(), body: String::new(), is_whole: false }
+        Self { status: 0, headers: BTreeMap::new(), body: String::new(), is_complete: false }
     }
 }
 
@@ -95,23 +95,23 @@
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
     let mut request = Request::builder().method(call.method).uri(&call.path).header("host", "test");
-    for (name, value) in &call.fields {
+    for (name, value) in &call.headers {
         request = request.header(name, value);
     }
     let request = request.body(Full::new(Bytes::from(call.body.clone())))?;
     let response = sender.send_request(request).await?;
     let mut reply = Reply { status: response.status().as_u16(), ..Reply::broken() };
     for (name, value) in response.headers() {
-        reply.fields.insert(name.to_string(), value.to_str()?.to_owned());
+        reply.headers.insert(name.to_string(), value.to_str()?.to_owned());
     }
     let mut body = response.into_body();
     let mut bytes = Vec::new();
-    reply.is_whole = true;
+    reply.is_complete = true;
     while let Some(frame) = body.frame().await {
         match frame {
             Ok(frame) => bytes.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
             Err(_) => {
-                reply.is_whole = false;
+                reply.is_complete = false;
                 break;
             }
         }
--- a/reachhead_harness/src/cluster/calls.rs
+++ b/reachhead_harness/src/cluster/calls.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Call, Reply, call,
-    cluster::{Cluster, TOKEN, random_id, ready, state},
+    cluster::{Cluster, TOKEN, fetch_state, random_id, wait_ready},
     eventually,
 };
 
@@ -33,22 +33,22 @@
 
     /// Calls the admin as an operator.
     pub async fn admin_call(&self, request: Call) -> Reply {
-        let request = request.with_field("authorization", format!("Bearer {TOKEN}"));
+        let request = request.with_header("authorization", format!("Bearer {TOKEN}"));
         call(self.admin, &request).await
     }
 
     /// Waits until every entry host is ready.
-    pub async fn all_ready(&self) {
+    pub async fn wait_all_ready(&self) {
         for host in &self.hosts {
-            ready(host.entry_ops).await;
+            wait_ready(host.entry_ops).await;
         }
     }
 
     /// Waits until `version` is in force in every entry process.
-    pub async fn in_force(&self, version: u64) {
+    pub async fn wait_in_force(&self, version: u64) {
         for host in &self.hosts {
             eventually("the version is in force", async || {
-                let state = state(host.entry_ops).await;
+                let state = fetch_state(host.entry_ops).await;
                 (state["version"].as_u64()? >= version).then_some(())
             })
             .await;
@@ -56,13 +56,13 @@
     }
 
     /// Sets what the store does wrong.
-    pub async fn store_fault(&self, fault: Value) {
+    pub async fn set_store_fault(&self, fault: Value) {
         let reply = call(self.store, &Call::post("/fault", &fault.to_string())).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     }
 
     /// Sets how the platform finds a host.
-    pub async fn set_host(&self, knob: Value) {
+    pub async fn set_host_state(&self, knob: Value) {
         let reply = call(self.store, &Call::post("/platform", &knob.to_string())).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     }
@@ -84,7 +84,7 @@
             rows.push((key, row));
         }
         let version = self.change(rows).await;
-        self.in_force(version).await;
+        self.wait_in_force(version).await;
     }
 
     /// Asks for a host to be moved to a pool.
@@ -95,7 +95,7 @@
     }
 
     /// Returns what an admin's read of `path` gives.
-    pub async fn read(&self, path: &str) -> Value {
+    pub async fn admin_get(&self, path: &str) -> Value {
         let reply = self.admin_call(Call::get(path)).await;
         assert_eq!(reply.status, 200, "{reply:?}");
         serde_json::from_str(&reply.body).expect("the test system works")
@@ -108,7 +108,7 @@
     }
 
     /// Sets what a minion does wrong.
-    pub async fn minion_fault(&self, index: usize, fault: Value) {
+    pub async fn set_minion_fault(&self, index: usize, fault: Value) {
         let body = fault.to_string();
         let reply = call(self.minions[index].address, &Call::post("/standin/fault", &body)).await;
         assert_eq!(reply.status, 200, "{reply:?}");
@@ -121,7 +121,7 @@
     }
 
     /// Returns how often requests with `key` ran, over all minions that answer.
-    pub async fn runs(&self, key: &str) -> u64 {
+    pub async fn count_runs(&self, key: &str) -> u64 {
         let mut runs = 0;
         for index in 0..self.minions.len() {
             runs += self.minion_counts(index).await["by_key"][key].as_u64().unwrap_or_default();
--- a/reachhead_harness/src/cluster/mod.rs
+++ b/reachhead_harness/src/cluster/mod.rs
@@ -18,8 +18,8 @@
 
 use crate::{
     Call, call, caller, eventually,
-    process::{Process, SPAWN},
-    wire::Wire,
+    process::{Process, SPAWN_LOCK},
+    proxy::Proxy,
 };
 
 /// The operators' token of every test.
@@ -64,7 +64,7 @@
 }
 
 /// What a test wants.
-pub struct Plan {
+pub struct ClusterConfig {
     hosts: usize,
     minions: usize,
     work: u64,
@@ -77,7 +77,7 @@
 pub struct Cluster {
     folder: PathBuf,
     ip: IpAddr,
-    plan: Plan,
+    plan: ClusterConfig,
     /// Where the store listens.
     pub store: SocketAddr,
     _store_process: Process,
@@ -96,7 +96,7 @@
     _process: Process,
 }
 
-impl Plan {
+impl ClusterConfig {
     /// Returns a plan of `hosts` entry hosts and `minions` minions for each of two services.
     pub fn new(hosts: usize, minions: usize) -> Self {
         Self { hosts, minions, work: 0, deadline: 1500, entry: json!({}), control: json!({}) }
@@ -138,22 +138,22 @@
         for _ in 0..cluster.plan.hosts {
             cluster.add_host();
         }
-        cluster.all_ready().await;
+        cluster.wait_all_ready().await;
         cluster
     }
 }
 
 async fn start_admin(folder: &Path, ip: IpAddr, store: SocketAddr) -> Admin {
-    let address = free(ip);
+    let address = free_address(ip);
     let settings = json!({
         "program": "admin", "host": "admin", "zone": "z1",
-        "ops": { "address": free(ip) }, "store": { "address": store, "rate": 1000 },
+        "ops": { "address": free_address(ip) }, "store": { "address": store, "rate": 1000 },
         "api": { "address": address, "token_salt": SALT, "token_hash": TOKEN_HASH },
     });
     let name = format!("admin-{}", address.port());
     let args = write_settings(folder, &name, &settings);
     let process = Process::start(folder, &name, "reachhead-admin", &args);
-    listening(address).await;
+    wait_listening(address).await;
     Admin { address, _process: process }
 }
 
@@ -165,18 +165,18 @@
 }
 
 impl Cluster {
-    async fn start_bare(plan: Plan) -> Self {
+    async fn start_bare(plan: ClusterConfig) -> Self {
         let ip = own_ip();
         let folder = env::temp_dir().join(format!("reachhead-test-{}-{ip}", process::id()));
         fs::create_dir_all(&folder).expect("the test system works");
-        let store = free(ip);
+        let store = free_address(ip);
         let store_process = Process::start(
             &folder,
             "store",
             "reachhead-standin",
             &["store".to_owned(), "--address".to_owned(), store.to_string()],
         );
-        listening(store).await;
+        wait_listening(store).await;
         let admin = start_admin(&folder, ip, store).await;
         let mut cluster = Self {
             folder,
@@ -199,13 +199,13 @@
 
     /// Starts a minion; it gets no work before it is configured.
     pub async fn add_minion(&mut self, service: &str, id: &str) {
-        let address = free(self.ip);
+        let address = free_address(self.ip);
         let args =
             ["minion", "--address", &address.to_string(), "--work", &self.plan.work.to_string()];
         let args = args.map(str::to_owned);
         let name = format!("minion-{service}-{id}-{}", address.port());
         let process = Process::start(&self.folder, &name, "reachhead-standin", &args);
-        listening(address).await;
+        wait_listening(address).await;
         let (id, service) = (id.to_owned(), service.to_owned());
         self.minions.push(Minion { id, service, address, process });
     }
@@ -217,15 +217,15 @@
 
     /// Starts an entry host that reaches the store at another address.
     pub fn add_host_with_store(&mut self, store: SocketAddr) {
-        let [control_link, entry_link] = [(); 2].map(|()| free(self.ip));
+        let [control_link, entry_link] = [(); 2].map(|()| free_address(self.ip));
         self.start_host(store, [control_link, entry_link], [control_link, entry_link]);
     }
 
     /// Starts an entry host that its peers reach over wires alone, its control and its entry process.
-    pub async fn add_host_behind_wires(&mut self) -> [Wire; 2] {
-        let links = [(); 2].map(|()| free(self.ip));
-        let control = Wire::new(self.ip, links[0]).await;
-        let entry = Wire::new(self.ip, links[1]).await;
+    pub async fn add_host_behind_proxies(&mut self) -> [Proxy; 2] {
+        let links = [(); 2].map(|()| free_address(self.ip));
+        let control = Proxy::new(self.ip, links[0]).await;
+        let entry = Proxy::new(self.ip, links[1]).await;
         self.start_host(self.store, links, [control.address, entry.address]);
         [control, entry]
     }
@@ -241,7 +241,7 @@
         let [control_link, entry_link] = links;
         let name = format!("e{}", NEXT.fetch_add(1, Ordering::Relaxed));
         let zone = ZONES[self.hosts.len() % ZONES.len()];
-        let [control_ops, entry_ops, callers] = [(); 3].map(|()| free(self.ip));
+        let [control_ops, entry_ops, callers] = [(); 3].map(|()| free_address(self.ip));
         let mut control =
             self.control_settings(&name, zone, store, control_ops, control_link, advertised[1]);
         control["link"]["advertise"] = json!(advertised[0]);
@@ -271,9 +271,9 @@
     }
 
     /// Starts the control process of an entry host without an entry process.
-    pub fn add_control(&mut self) -> Process {
+    pub fn add_control_process(&mut self) -> Process {
         let name = format!("c{}", NEXT.fetch_add(1, Ordering::Relaxed));
-        let [ops, link, entry] = [(); 3].map(|()| free(self.ip));
+        let [ops, link, entry] = [(); 3].map(|()| free_address(self.ip));
         let settings = self.control_settings(&name, "z1", self.store, ops, link, entry);
         let args = write_settings(&self.folder, &format!("control-{name}"), &settings);
         Process::start(&self.folder, &format!("control-{name}"), "reachhead-control", &args)
@@ -348,10 +348,10 @@
 }
 
 /// Returns a free port of `ip`; only this test uses the address, so it stays free.
-pub fn free(ip: IpAddr) -> SocketAddr {
+pub fn free_address(ip: IpAddr) -> SocketAddr {
     // The system may name a port again that nobody listens on yet, so the given ones are kept.
     static GIVEN: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
-    let _spawn = SPAWN.lock().unwrap_or_else(PoisonError::into_inner);
+    let _spawn = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     loop {
         let address = TcpListener::bind((ip, 0))
             .expect("the test system works")
@@ -364,7 +364,7 @@
 }
 
 /// Waits until something listens on `address`.
-pub async fn listening(address: SocketAddr) {
+pub async fn wait_listening(address: SocketAddr) {
     eventually(&format!("{address} listens"), async || {
         tokio::net::TcpStream::connect(address).await.ok().map(drop)
     })
@@ -372,7 +372,7 @@
 }
 
 /// Waits until the process with the ops listener at `address` is ready.
-pub async fn ready(address: SocketAddr) {
+pub async fn wait_ready(address: SocketAddr) {
     eventually(&format!("{address} is ready"), async || {
         (caller::call(address, &Call::get("/ready")).await.status == 200).then_some(())
     })
@@ -380,7 +380,7 @@
 }
 
 /// Returns the state dump of a process.
-pub async fn state(ops: SocketAddr) -> Value {
+pub async fn fetch_state(ops: SocketAddr) -> Value {
     let reply = call(ops, &Call::get("/state")).await;
     serde_json::from_str(&reply.body).unwrap_or_default()
 }
--- a/reachhead_harness/src/process.rs
+++ b/reachhead_harness/src/process.rs
@@ -24,7 +24,7 @@
 
 /// Held while a process is started and while a port is tried: a process that is just being started
 /// holds every socket of its parent for a moment, and so would keep a tried port taken.
-pub static SPAWN: Mutex<()> = Mutex::new(());
+pub static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// A process that ends with its owner.
 pub struct Process {
@@ -44,7 +44,7 @@
 }
 
 /// Returns the path of a program that was built beside this one, if it was.
-pub fn built(name: &str) -> Option<PathBuf> {
+pub fn find_program(name: &str) -> Option<PathBuf> {
     let own = env::current_exe().ok()?;
     let mut folders = own.ancestors().skip(1);
     let folder = folders.find(|folder| folder.join(name).is_file())?;
@@ -56,8 +56,8 @@
 /// # Panics
 ///
 /// If it is not built.
-pub fn program(name: &str) -> PathBuf {
-    built(name).unwrap_or_else(|| panic!("{name} is not built; run extra/test.sh"))
+pub fn program_path(name: &str) -> PathBuf {
+    find_program(name).unwrap_or_else(|| panic!("{name} is not built; run extra/test.sh"))
 }
 
 impl Process {
@@ -67,10 +67,10 @@
     ///
     /// If it can't be started.
     pub fn start(folder: &Path, name: &str, program_name: &str, args: &[String]) -> Self {
-        let _spawn = SPAWN.lock().unwrap_or_else(PoisonError::into_inner);
+        let _spawn = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
         let log = File::create(folder.join(format!("{name}.log"))).expect("the folder is there");
         let errors = log.try_clone().expect("a file can be shared");
-        let child = Command::new(program(program_name))
+        let child = Command::new(program_path(program_name))
             .args(args)
             .stdin(Stdio::null())
             .stdout(log)
@@ -99,11 +99,11 @@
     /// Asks for a graceful end and returns how it ended.
     pub async fn stop(&mut self) -> ExitStatus {
         self.signal(Signal::SIGTERM);
-        self.ended().await
+        self.wait().await
     }
 
     /// Waits for its end.
-    pub async fn ended(&mut self) -> ExitStatus {
+    pub async fn wait(&mut self) -> ExitStatus {
         let what = format!("{} ends", self.name);
         let child = &mut self.child;
         eventually(&what, async || child.try_wait().expect("a child can be waited for")).await
--- a/reachhead_harness/src/wire.rs
+++ b/reachhead_harness/src/proxy.rs
@@ -17,16 +17,16 @@
     time,
 };
 
-use crate::STEP;
+use crate::POLL_PERIOD;
 
 /// A forwarder that swallows everything while it is cut, as a network does: nobody gets an error.
-pub struct Wire {
+pub struct Proxy {
     /// Where to connect instead.
     pub address: SocketAddr,
     is_cut: Arc<AtomicBool>,
 }
 
-impl Wire {
+impl Proxy {
     /// Returns a whole wire from a new address of `ip` to `target`.
     ///
     /// # Panics
@@ -50,7 +50,7 @@
     }
 
     /// Cuts the wire, or mends it; what was swallowed stays lost with its connection.
-    pub fn cut(&self, is_cut: bool) {
+    pub fn set_partitioned(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::Relaxed);
     }
 }
@@ -69,6 +69,6 @@
         }
     }
     while is_cut.load(Ordering::Relaxed) {
-        time::sleep(STEP).await;
+        time::sleep(POLL_PERIOD).await;
     }
 }
