--- a/reachhead/tests/system/limits.rs
+++ b/reachhead/tests/system/limits.rs
@@ -1,4 +1,5 @@
-//! Slots and connections of a minion, in sum over entry hosts that come, go, freeze and are cut.
+//! Slot and connection limits of minions, summed over entry hosts that join, leave, freeze or are
+//! partitioned.
 
 use std::{
     sync::{
@@ -19,13 +20,13 @@
     proxy::Proxy,
 };
 
-/// Slots of a minion.
+/// Slots of a minion, over all entry hosts.
 const SLOTS: u64 = 8;
 
-/// Connections of a minion.
+/// Connections of a minion, over all entry hosts.
 const CONNECTIONS: u64 = 64;
 
-/// Callers that keep every host busy until they are told to stop.
+/// Callers that keep hosts busy until they are stopped.
 struct Flood {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<()>>,
@@ -57,11 +58,12 @@
     }
 }
 
-async fn limits(cluster: &Cluster, hosts: &[usize]) -> Vec<u64> {
+/// Returns the slots of each minion, summed over `hosts`.
+async fn sum_limits(cluster: &Cluster, hosts: &[usize]) -> Vec<u64> {
     let mut sums: Vec<u64> = Vec::new();
     for &host in hosts {
         let state = fetch_state(cluster.hosts[host].entry_ops).await;
-        let limits = minions(&state);
+        let limits = minion_limits(&state);
         sums.resize(limits.len(), 0);
         for (sum, limit) in sums.iter_mut().zip(limits) {
             *sum += limit;
@@ -70,7 +72,8 @@
     sums
 }
 
-fn minions(state: &Value) -> Vec<u64> {
+/// Returns the slots that an entry host has of each minion.
+fn minion_limits(state: &Value) -> Vec<u64> {
     let services = state["services"].as_array().unwrap();
     let minions = services.iter().flat_map(|service| service["minions"].as_array().unwrap());
     minions.map(|minion| minion["limit"].as_u64().unwrap()).collect()
@@ -81,22 +84,22 @@
         let counts = cluster.minion_counts(index).await;
         assert!(counts["most_running"].as_u64().unwrap() <= SLOTS, "{counts}");
         assert!(counts["most_connections"].as_u64().unwrap() <= CONNECTIONS, "{counts}");
-        assert_eq!(counts["refused"], 0, "a minion had to refuse: {counts}");
+        assert_eq!(counts["refused"], 0, "a minion refused requests: {counts}");
     }
 }
 
 #[tokio::test]
-async fn the_shares_of_all_hosts_make_up_each_minions_slots() {
+async fn host_shares_sum_to_the_slots_of_each_minion() {
     let cluster = ClusterConfig::new(3, 3).start().await;
     eventually("all shares are in use", async || {
-        let sums = limits(&cluster, &[0, 1, 2]).await;
+        let sums = sum_limits(&cluster, &[0, 1, 2]).await;
         (sums == [SLOTS; 6]).then_some(())
     })
     .await;
 }
 
 #[tokio::test]
-async fn limits_hold_while_hosts_are_killed_added_and_stopped_under_a_flood() {
+async fn limits_hold_under_load_while_hosts_are_killed_added_and_stopped() {
     let mut cluster = ClusterConfig::new(3, 1).with_work(15).with_deadline(1000).start().await;
     let flood = Flood::start(&cluster, &[0, 1, 2], 12);
     time::sleep(Duration::from_secs(1)).await;
@@ -104,43 +107,43 @@
     cluster.hosts[0].control.kill();
     cluster.add_host();
     wait_ready(cluster.hosts[3].entry_ops).await;
-    let more = Flood::start(&cluster, &[3], 12);
+    let second_flood = Flood::start(&cluster, &[3], 12);
     eventually("the killed host's slots are in use again", async || {
-        let sums = limits(&cluster, &[1, 2, 3]).await;
+        let sums = sum_limits(&cluster, &[1, 2, 3]).await;
         (sums[0] == SLOTS).then_some(())
     })
     .await;
     assert!(cluster.hosts[1].entry.stop().await.success());
     assert!(cluster.hosts[1].control.stop().await.success());
     eventually("the stopped host's slots are in use again", async || {
-        let sums = limits(&cluster, &[2, 3]).await;
+        let sums = sum_limits(&cluster, &[2, 3]).await;
         (sums[0] == SLOTS).then_some(())
     })
     .await;
     time::sleep(Duration::from_secs(1)).await;
     flood.stop().await;
-    more.stop().await;
+    second_flood.stop().await;
     assert_limits_held(&cluster).await;
 }
 
 #[tokio::test]
-async fn a_frozen_host_that_thaws_finds_its_slots_gone() {
+async fn thawed_host_does_not_use_its_former_slots() {
     let cluster = ClusterConfig::new(2, 1).with_work(15).with_deadline(800).start().await;
     let flood = Flood::start(&cluster, &[0, 1], 12);
     cluster.hosts[0].control.signal(Signal::SIGSTOP);
     cluster.hosts[0].entry.signal(Signal::SIGSTOP);
     eventually("the other host has all slots", async || {
-        let sums = limits(&cluster, &[1]).await;
+        let sums = sum_limits(&cluster, &[1]).await;
         (sums[0] == SLOTS).then_some(())
     })
     .await;
-    // The entry process thaws first and knows nothing new; requests wait at its door.
+    // The entry process thaws first, with stale state and requests in its listener's backlog.
     cluster.hosts[0].entry.signal(Signal::SIGCONT);
     time::sleep(Duration::from_millis(1500)).await;
     cluster.hosts[0].control.signal(Signal::SIGCONT);
     eventually("both hosts share again", async || {
-        let sums = limits(&cluster, &[0, 1]).await;
-        let own = limits(&cluster, &[0]).await;
+        let sums = sum_limits(&cluster, &[0, 1]).await;
+        let own = sum_limits(&cluster, &[0]).await;
         (sums[0] == SLOTS && own[0] > 0).then_some(())
     })
     .await;
@@ -150,10 +153,10 @@
 }
 
 #[tokio::test]
-async fn a_store_outage_changes_no_share_and_no_answer() {
+async fn store_outage_changes_no_share_and_fails_no_request() {
     let cluster = ClusterConfig::new(3, 1).with_work(5).start().await;
     cluster.set_store_fault(json!({ "hang": true })).await;
-    // Longer than any term after which a host would be taken for gone.
+    // Longer than any timeout after which a host is considered dead.
     for _ in 0..60 {
         for host in 0..3 {
             let reply = cluster.call(host, &Call::get("/red/alpha")).await;
@@ -161,33 +164,33 @@
         }
         time::sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
+    assert_eq!(sum_limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
     cluster.set_store_fault(json!({})).await;
     time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
+    assert_eq!(sum_limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
     assert_limits_held(&cluster).await;
 }
 
 #[tokio::test]
-async fn a_host_cut_from_the_store_alone_stops_when_the_others_take_it_off() {
+async fn host_partitioned_from_store_stops_when_removed_from_membership() {
     let mut cluster = ClusterConfig::new(2, 1).with_work(10).with_deadline(800).start().await;
-    let wire = Proxy::new(cluster.store.ip(), cluster.store).await;
-    cluster.add_host_with_store(wire.address);
+    let proxy = Proxy::new(cluster.store.ip(), cluster.store).await;
+    cluster.add_host_with_store(proxy.address);
     wait_ready(cluster.hosts[2].entry_ops).await;
     let flood = Flood::start(&cluster, &[0, 1, 2], 6);
-    wire.set_partitioned(true);
+    proxy.set_partitioned(true);
     eventually("the others have all slots", async || {
-        let sums = limits(&cluster, &[0, 1]).await;
-        let own = limits(&cluster, &[2]).await;
+        let sums = sum_limits(&cluster, &[0, 1]).await;
+        let own = sum_limits(&cluster, &[2]).await;
         (sums[0] == SLOTS && own == [0, 0]).then_some(())
     })
     .await;
     let reply = cluster.call(2, &Call::get("/red/alpha")).await;
     assert_eq!((reply.status, reply.outcome()), (503, "not-run"), "{reply:?}");
-    wire.set_partitioned(false);
+    proxy.set_partitioned(false);
     eventually("all three share again", async || {
-        let sums = limits(&cluster, &[0, 1, 2]).await;
-        let own = limits(&cluster, &[2]).await;
+        let sums = sum_limits(&cluster, &[0, 1, 2]).await;
+        let own = sum_limits(&cluster, &[2]).await;
         (sums[0] == SLOTS && own[0] > 0).then_some(())
     })
     .await;
@@ -196,19 +199,19 @@
 }
 
 #[tokio::test]
-async fn a_host_off_the_list_borrows_nothing() {
+async fn host_removed_from_membership_borrows_no_slots() {
     let mut cluster = ClusterConfig::new(2, 1).with_deadline(800).start().await;
-    let wire = Proxy::new(cluster.store.ip(), cluster.store).await;
-    cluster.add_host_with_store(wire.address);
+    let proxy = Proxy::new(cluster.store.ip(), cluster.store).await;
+    cluster.add_host_with_store(proxy.address);
     wait_ready(cluster.hosts[2].entry_ops).await;
-    wire.set_partitioned(true);
+    proxy.set_partitioned(true);
     eventually("the others have all slots", async || {
-        let sums = limits(&cluster, &[0, 1]).await;
-        let own = limits(&cluster, &[2]).await;
+        let sums = sum_limits(&cluster, &[0, 1]).await;
+        let own = sum_limits(&cluster, &[2]).await;
         (sums[0] == SLOTS && own == [0, 0]).then_some(())
     })
     .await;
-    // The others are idle and would lend; this host can be asked about claims by nobody.
+    // The others are idle and would lend slots, but they can't query this host about its claims.
     for _ in 0..20 {
         let reply = cluster.call(2, &Call::get("/red/alpha")).await;
         assert_eq!((reply.status, reply.outcome()), (503, "not-run"), "{reply:?}");
@@ -217,15 +220,15 @@
 }
 
 #[tokio::test]
-async fn a_host_that_its_peers_cannot_reach_goes_on_and_so_do_they() {
+async fn host_unreachable_by_peers_keeps_serving_and_so_do_its_peers() {
     let mut cluster = ClusterConfig::new(2, 1).with_work(5).start().await;
-    let wires = cluster.add_host_behind_proxies().await;
+    let proxies = cluster.add_host_behind_proxies().await;
     wait_ready(cluster.hosts[2].entry_ops).await;
     eventually("all shares are in use", async || {
-        (limits(&cluster, &[0, 1, 2]).await == [SLOTS; 2]).then_some(())
+        (sum_limits(&cluster, &[0, 1, 2]).await == [SLOTS; 2]).then_some(())
     })
     .await;
-    // It still reaches its peers and the store; nobody reaches it.
+    // The host still reaches its peers and the store, but no process reaches it.
     let is_reached = async || {
         let status = cluster.admin_get("/v1/status").await;
         let mut hosts = status["hosts"].as_array().unwrap().iter();
@@ -233,14 +236,14 @@
         !host["control"].is_null()
     };
     assert!(is_reached().await);
-    for wire in &wires {
-        wire.set_partitioned(true);
+    for proxy in &proxies {
+        proxy.set_partitioned(true);
     }
-    assert!(!is_reached().await, "the cut cuts nothing");
+    assert!(!is_reached().await, "the partition has no effect");
     let row = json!({ "parent": "top", "settings": { "queue": 99 } });
     let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
     cluster.wait_in_force(version).await;
-    // Longer than the silence after which a host would be taken for gone, the store at times away.
+    // Longer than the silence after which a host is considered dead; the store hangs part of the time.
     for round in 0..60 {
         let is_down = (20..40).contains(&round);
         cluster.set_store_fault(json!({ "hang": is_down })).await;
@@ -250,12 +253,12 @@
         }
         time::sleep(Duration::from_millis(150)).await;
     }
-    assert_eq!(limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
+    assert_eq!(sum_limits(&cluster, &[0, 1, 2]).await, [SLOTS; 2]);
     assert_limits_held(&cluster).await;
 }
 
 #[tokio::test]
-async fn an_entry_without_its_control_stops_and_goes_on_with_it() {
+async fn entry_stops_serving_without_its_control_and_resumes_with_it() {
     let cluster = ClusterConfig::new(2, 1).start().await;
     cluster.hosts[0].control.signal(Signal::SIGSTOP);
     eventually("the host is not ready", async || {
@@ -270,28 +273,28 @@
 }
 
 #[tokio::test]
-async fn a_skewed_balancer_is_served_by_loans_within_the_limits() {
+async fn loans_absorb_skewed_load_within_the_limits() {
     let cluster = ClusterConfig::new(3, 1).with_work(20).with_deadline(1000).start().await;
     eventually("all shares are in use", async || {
-        let sums = limits(&cluster, &[0, 1, 2]).await;
+        let sums = sum_limits(&cluster, &[0, 1, 2]).await;
         (sums == [SLOTS; 2]).then_some(())
     })
     .await;
-    let own = limits(&cluster, &[0]).await[0];
+    let own = sum_limits(&cluster, &[0]).await[0];
     let flood = Flood::start(&cluster, &[0], 12);
     eventually("the busy host has borrowed", async || {
-        (limits(&cluster, &[0]).await[0] > own).then_some(())
+        (sum_limits(&cluster, &[0]).await[0] > own).then_some(())
     })
     .await;
-    // The lenders get callers too and want their slots back.
-    let more = Flood::start(&cluster, &[1, 2], 6);
+    // Load at the lenders makes them reclaim their slots.
+    let second_flood = Flood::start(&cluster, &[1, 2], 6);
     time::sleep(Duration::from_secs(3)).await;
     flood.stop().await;
-    more.stop().await;
+    second_flood.stop().await;
     assert_limits_held(&cluster).await;
-    eventually("everything is returned", async || {
-        let sums = limits(&cluster, &[0, 1, 2]).await;
-        (sums == [SLOTS; 2] && limits(&cluster, &[0]).await[0] == own).then_some(())
+    eventually("all loans are returned", async || {
+        let sums = sum_limits(&cluster, &[0, 1, 2]).await;
+        (sums == [SLOTS; 2] && sum_limits(&cluster, &[0]).await[0] == own).then_some(())
     })
     .await;
 }
--- a/reachhead/tests/system/load.rs
+++ b/reachhead/tests/system/load.rs
@@ -1,4 +1,4 @@
-//! Steady load through a balancer, of which no request may fail.
+//! Steady load through a load balancer, in which no request may fail.
 
 use std::{
     collections::BTreeMap,
@@ -14,14 +14,15 @@
 
 use reachhead_harness::{Call, Cluster, Reply, call};
 
-/// How often the balancer looks which hosts are ready; entry hosts wait out more than this.
-pub const BALANCER_LAG: Duration = Duration::from_millis(100);
+/// Period of the balancer's readiness checks; an entry host that stops keeps serving for longer than this.
+pub const BALANCER_PERIOD: Duration = Duration::from_millis(100);
 
-/// Callers behind the balancer.
+/// Number of concurrent callers.
 const CALLERS: usize = 8;
 
-/// The platform's balancer, and callers that send steadily through it.
+/// Load balancer that routes to ready entry hosts, and callers that send through it without pause.
 pub struct Load {
+    /// Address for callers of each entry host, by the address of its ops listener.
     hosts: Arc<Mutex<BTreeMap<SocketAddr, SocketAddr>>>,
     stop: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
@@ -30,11 +31,11 @@
 }
 
 impl Load {
-    /// Starts to send.
+    /// Starts the balancer and the callers.
     pub fn start(cluster: &Cluster) -> Self {
-        let known = cluster.hosts.iter().map(|host| (host.entry_ops, host.callers)).collect();
+        let addresses = cluster.hosts.iter().map(|host| (host.entry_ops, host.callers)).collect();
         let mut load = Self {
-            hosts: Arc::new(Mutex::new(known)),
+            hosts: Arc::new(Mutex::new(addresses)),
             stop: Arc::default(),
             served: Arc::default(),
             failed: Arc::default(),
@@ -42,7 +43,7 @@
         };
         let ready =
             Arc::new(Mutex::new(cluster.hosts.iter().map(|host| host.callers).collect::<Vec<_>>()));
-        load.tasks.push(tokio::spawn(balance(
+        load.tasks.push(tokio::spawn(run_balancer(
             Arc::clone(&load.hosts),
             Arc::clone(&ready),
             Arc::clone(&load.stop),
@@ -75,13 +76,17 @@
         load
     }
 
-    /// Tells the balancer of the newest entry host.
-    pub fn add(&self, cluster: &Cluster) {
+    /// Adds the newest entry host of the cluster to the balancer.
+    pub fn add_newest_host(&self, cluster: &Cluster) {
         let host = cluster.hosts.last().unwrap();
         self.hosts.lock().unwrap().insert(host.entry_ops, host.callers);
     }
 
-    /// Stops, and returns how many requests were served; none may have failed.
+    /// Stops the load and returns the number of served requests.
+    ///
+    /// # Panics
+    ///
+    /// If a request failed.
     pub async fn stop(self) -> usize {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
@@ -94,15 +99,16 @@
     }
 }
 
-async fn balance(
+/// Checks the readiness of `hosts` periodically and keeps the caller addresses of ready ones in `ready`.
+async fn run_balancer(
     hosts: Arc<Mutex<BTreeMap<SocketAddr, SocketAddr>>>,
     ready: Arc<Mutex<Vec<SocketAddr>>>,
     stop: Arc<AtomicBool>,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        let known = hosts.lock().unwrap().clone();
+        let checked = hosts.lock().unwrap().clone();
         let mut next = Vec::new();
-        for (ops, callers) in known {
+        for (ops, callers) in checked {
             if call(ops, &Call::get("/ready")).await.status == 200 {
                 next.push(callers);
             }
@@ -110,6 +116,6 @@
         if !next.is_empty() {
             *ready.lock().unwrap() = next;
         }
-        time::sleep(BALANCER_LAG).await;
+        time::sleep(BALANCER_PERIOD).await;
     }
 }
--- a/reachhead/tests/system/main.rs
+++ b/reachhead/tests/system/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the whole system as real processes over loopback.
+//! End-to-end tests of the whole system, run as real processes over loopback.
 //!
-//! `extra/test.sh` builds the programs first. Each test has a loopback address of its own, so that
-//! tests run side by side and no port of one is taken by another.
+//! The programs must be built first, as `extra/test.sh` does. Each test has a loopback address of its
+//! own, so that tests run in parallel without port conflicts.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
--- a/reachhead/tests/system/operators.rs
+++ b/reachhead/tests/system/operators.rs
@@ -1,4 +1,4 @@
-//! Operators of rival groups, and operators that race each other on the same rows.
+//! Permissions of operators, concurrent changes of the same rows, and the operators' command line.
 
 use std::{
     collections::BTreeMap,
@@ -18,7 +18,7 @@
 };
 
 /// Runs the operators' command line with `token`.
-fn command(cluster: &Cluster, token: &str, args: &[&str]) -> Output {
+fn run_cli(cluster: &Cluster, token: &str, args: &[&str]) -> Output {
     Command::new(program_path("reachhead"))
         .args(args)
         .env("REACHHEAD_ADMIN", cluster.admin.to_string())
@@ -27,9 +27,9 @@
         .unwrap()
 }
 
-/// Makes an operator of `group` through the command line and returns its token.
+/// Adds an operator of `group` through the command line and returns its token.
 fn add_operator(cluster: &Cluster, name: &str, group: &str) -> String {
-    let output = command(cluster, TOKEN, &["operator", "add", name, "--group", group]);
+    let output = run_cli(cluster, TOKEN, &["operator", "add", name, "--group", group]);
     assert!(output.status.success(), "{output:?}");
     String::from_utf8(output.stdout).unwrap().trim().to_owned()
 }
@@ -38,7 +38,8 @@
     call(admin, &request.with_header("authorization", format!("Bearer {token}"))).await
 }
 
-fn change(id: &str, key: &str, value: &Value, expected: Option<u64>) -> Call {
+/// Returns a request that writes one row, on condition of version `expected` if given.
+fn change_request(id: &str, key: &str, value: &Value, expected: Option<u64>) -> Call {
     let mut write = json!({ "key": key, "value": value });
     if let Some(expected) = expected {
         write["expected"] = json!(expected);
@@ -47,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_rivals_operator_neither_reads_nor_changes_another_groups_rows() {
+async fn operator_cannot_read_or_change_rows_of_another_group() {
     let cluster = ClusterConfig::new(0, 1).start().await;
     let red = add_operator(&cluster, "o-red", "red");
     let blue = add_operator(&cluster, "o-blue", "blue");
@@ -80,22 +81,24 @@
         ("operator/o-new", json!({ "salt": "s", "hash": "h" })),
     ];
     for (key, value) in denied {
-        let reply = call_as(cluster.admin, &red, change(&random_id(), key, &value, None)).await;
+        let reply =
+            call_as(cluster.admin, &red, change_request(&random_id(), key, &value, None)).await;
         assert_eq!(reply.status, 403, "{key} {value}: {reply:?}");
     }
     let undo = json!({ "id": random_id(), "version": version }).to_string();
     assert_eq!(call_as(cluster.admin, &red, Call::post("/v1/undo", &undo)).await.status, 403);
 
     let own = json!({ "parent": "top", "settings": { "queue": 9 } });
-    let reply = call_as(cluster.admin, &red, change(&random_id(), "group/red", &own, None)).await;
+    let reply =
+        call_as(cluster.admin, &red, change_request(&random_id(), "group/red", &own, None)).await;
     assert_eq!(reply.status, 200, "{reply:?}");
-    assert!(command(&cluster, TOKEN, &["operator", "remove", "o-red"]).status.success());
+    assert!(run_cli(&cluster, TOKEN, &["operator", "remove", "o-red"]).status.success());
     assert_eq!(get(&red, "/v1/rows").await.status, 401);
     assert_eq!(get(&blue, "/v1/rows").await.status, 200);
 }
 
-/// Makes `count` changes that each add one to a row, reading it again after each refusal.
-async fn count_up(admin: SocketAddr, row: &str, count: u64) -> Vec<String> {
+/// Makes `count` changes that each add one to a row, rereading it after each conflict; returns their ids.
+async fn increment_row(admin: SocketAddr, row: &str, count: u64) -> Vec<String> {
     let mut accepted = Vec::new();
     while accepted.len() < count as usize {
         let id = random_id();
@@ -103,15 +106,15 @@
         let Ok(rows) = serde_json::from_str::<Value>(&rows.body) else {
             continue;
         };
-        let seen = rows[0]["value"]["settings"]["queue"].as_u64().unwrap_or_default();
+        let queue = rows[0]["value"]["settings"]["queue"].as_u64().unwrap_or_default();
         let expected = rows[0]["version"].as_u64().unwrap_or_default();
-        let value = json!({ "settings": { "queue": seen + 1 } });
-        let request = change(&id, &format!("group/{row}"), &value, Some(expected));
+        let value = json!({ "settings": { "queue": queue + 1 } });
+        let request = change_request(&id, &format!("group/{row}"), &value, Some(expected));
         loop {
             let reply = call_as(admin, TOKEN, request.clone()).await;
             match reply.status {
                 200 => accepted.push(id),
-                // Nothing changed, for certain: start again from what is there now.
+                // The change was certainly not made: start over from the current row.
                 409 => {}
                 503 | 504 => {
                     time::sleep(Duration::from_millis(50)).await;
@@ -126,16 +129,16 @@
 }
 
 #[tokio::test]
-async fn operators_that_race_with_lost_answers_lose_and_double_no_change() {
+async fn concurrent_changes_with_lost_store_responses_are_applied_exactly_once() {
     let mut cluster = ClusterConfig::new(0, 0).start_bare().await;
     let other = cluster.add_admin().await;
     cluster.set_store_fault(json!({ "lose": 4, "lose_prefix": "config/" })).await;
-    // Two on the same row and two on rows of their own, through two admins.
+    // Two writers share a row and two have a row of their own, through two admins.
     let counts = tokio::join!(
-        count_up(cluster.admin, "same", 8),
-        count_up(other, "same", 8),
-        count_up(cluster.admin, "one", 8),
-        count_up(other, "two", 8),
+        increment_row(cluster.admin, "same", 8),
+        increment_row(other, "same", 8),
+        increment_row(cluster.admin, "one", 8),
+        increment_row(other, "two", 8),
     );
     let accepted: Vec<String> = [counts.0, counts.1, counts.2, counts.3].concat();
     let log = cluster.admin_call(Call::get("/v1/log")).await;
@@ -145,7 +148,7 @@
     let mut expected = accepted.clone();
     logged.sort();
     expected.sort();
-    assert_eq!(logged, expected, "each accepted change is in the log once, and no other");
+    assert_eq!(logged, expected, "the log must hold each accepted change once, and no other");
     let rows = cluster.admin_call(Call::get("/v1/rows")).await;
     let rows: Vec<Value> = serde_json::from_str(&rows.body).unwrap();
     let queues: BTreeMap<&str, u64> = rows
@@ -158,29 +161,33 @@
 }
 
 #[tokio::test]
-async fn settings_are_compared_undone_and_traced_by_the_command_line() {
+async fn command_line_diffs_undoes_and_lists_changes() {
     let cluster = ClusterConfig::new(0, 0).start_bare().await;
     let row = |queue: u64| json!({ "settings": { "queue": queue } });
     for queue in [5, 6] {
         cluster.change(vec![("group/top".to_owned(), row(queue))]).await;
     }
     let run = |args: &[&str]| {
-        let output = command(&cluster, TOKEN, args);
+        let output = run_cli(&cluster, TOKEN, args);
         (output.status.success(), String::from_utf8(output.stdout).unwrap())
     };
-    let (is_fine, diff) = run(&["settings", "diff", "1", "2"]);
-    assert!(is_fine && diff.contains(r#"{"settings":{"queue":5}}"#), "{diff}");
-    let (is_fine, _) = run(&["settings", "undo", "2"]);
-    assert!(is_fine);
-    assert_eq!(run(&["settings", "diff", "1"]).1.lines().count(), 1, "only the table's head");
-    let (is_fine, _) = run(&["settings", "undo", "2"]);
-    assert!(!is_fine, "the row was written since");
+    let (is_success, diff) = run(&["settings", "diff", "1", "2"]);
+    assert!(is_success && diff.contains(r#"{"settings":{"queue":5}}"#), "{diff}");
+    let (is_success, _) = run(&["settings", "undo", "2"]);
+    assert!(is_success);
+    assert_eq!(
+        run(&["settings", "diff", "1"]).1.lines().count(),
+        1,
+        "expected only the header of the table"
+    );
+    let (is_success, _) = run(&["settings", "undo", "2"]);
+    assert!(!is_success, "undone although the row was written since");
     let (_, history) = run(&["settings", "log", "--key", "group/top"]);
     assert_eq!(history.lines().count(), 4, "{history}");
 }
 
 #[tokio::test]
-async fn a_fresh_host_takes_the_newest_version_from_its_peers_while_the_store_is_down() {
+async fn new_host_gets_newest_configuration_from_peers_during_store_outage() {
     let mut cluster = ClusterConfig::new(2, 1).start().await;
     let row = json!({ "parent": "top", "settings": { "queue": 77 } });
     let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
@@ -188,11 +195,11 @@
     cluster.set_store_fault(json!({ "hang": true })).await;
     cluster.add_host();
     let ops = cluster.hosts[2].entry_ops;
-    let mut seen = 0;
-    eventually("the fresh host has the newest version", async || {
+    let mut last_version = 0;
+    eventually("the new host has the newest version", async || {
         let now = fetch_state(ops).await["version"].as_u64().unwrap_or_default();
-        assert!(now >= seen, "the version went back from {seen} to {now}");
-        seen = now;
+        assert!(now >= last_version, "the version went back from {last_version} to {now}");
+        last_version = now;
         (now == version).then_some(())
     })
     .await;
--- a/reachhead/tests/system/outcomes.rs
+++ b/reachhead/tests/system/outcomes.rs
@@ -1,4 +1,4 @@
-//! Truthful answers: what a caller is told when the request or the minion is bad.
+//! Responses to malformed requests and to failing minions: status, error kind and outcome.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,8 +16,8 @@
     eventually,
 };
 
-/// Sends raw bytes, piece by piece, and returns what comes back until the connection ends.
-async fn raw(address: SocketAddr, pieces: &[&[u8]], pause: Duration) -> String {
+/// Sends raw bytes, with a pause after each piece, and returns what is received until the connection ends.
+async fn send_raw(address: SocketAddr, pieces: &[&[u8]], pause: Duration) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     for piece in pieces {
         if stream.write_all(piece).await.is_err() {
@@ -25,24 +25,24 @@
         }
         time::sleep(pause).await;
     }
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut buffer = [0; 4096];
     loop {
         let read = time::timeout(Duration::from_secs(20), stream.read(&mut buffer)).await;
         match read.expect("the connection ends") {
             Ok(0) | Err(_) => break,
-            Ok(count) => answer.extend_from_slice(&buffer[..count]),
+            Ok(count) => response.extend_from_slice(&buffer[..count]),
         }
     }
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-fn status(answer: &str) -> &str {
-    answer.split(' ').nth(1).unwrap_or_default()
+fn parse_status(response: &str) -> &str {
+    response.split(' ').nth(1).unwrap_or_default()
 }
 
 #[tokio::test]
-async fn bad_framing_gets_a_clear_refusal_and_harms_nobody_else() {
+async fn malformed_requests_are_rejected_and_others_still_served() {
     let cluster = ClusterConfig::new(1, 1)
         .with_entry(json!({ "callers": { "head_time": 700, "body_time": 700, "head": 8192 } }))
         .start()
@@ -80,31 +80,31 @@
         ),
     ];
     for (name, bytes, expected) in &cases {
-        let answer = raw(address, &[bytes], Duration::ZERO).await;
-        assert_eq!(status(&answer), *expected, "{name}: {answer:?}");
+        let response = send_raw(address, &[bytes], Duration::ZERO).await;
+        assert_eq!(parse_status(&response), *expected, "{name}: {response:?}");
         assert_eq!(cluster.call(0, &Call::get("/red/alpha")).await.status, 200, "after {name}");
     }
-    // Slow ones: a head that trickles, and a body that stops.
+    // Slow requests: a head that arrives in pieces, and a body that stops.
     let pause = Duration::from_millis(400);
     let head: [&[u8]; 4] = [b"GET /red/al", b"pha HTTP/1.1\r\n", b"Host:", b" a"];
-    let answer = raw(address, &head, pause).await;
-    assert_eq!(status(&answer), "408", "a slow head: {answer:?}");
+    let response = send_raw(address, &head, pause).await;
+    assert_eq!(parse_status(&response), "408", "a slow head: {response:?}");
     let body = format!("{post}Content-Length: 10\r\n\r\nab");
-    let answer = raw(address, &[body.as_bytes()], Duration::ZERO).await;
-    assert_eq!(status(&answer), "408", "a slow body: {answer:?}");
-    assert!(answer.contains("reachhead-outcome: not-run"), "{answer:?}");
+    let response = send_raw(address, &[body.as_bytes()], Duration::ZERO).await;
+    assert_eq!(parse_status(&response), "408", "a slow body: {response:?}");
+    assert!(response.contains("reachhead-outcome: not-run"), "{response:?}");
     let ran = cluster.minion_counts(0).await["ran"].as_u64().unwrap();
-    assert_eq!(ran, cases.len() as u64, "only the good requests ran");
+    assert_eq!(ran, cases.len() as u64, "only the well-formed requests must run");
 }
 
 #[tokio::test]
-async fn a_body_cut_at_any_offset_is_never_taken_for_whole() {
+async fn body_truncated_at_any_offset_is_never_reported_complete() {
     let cluster = ClusterConfig::new(1, 1)
         .with_entry(json!({ "minions": { "whole": 64, "sends": 1 } }))
         .with_deadline(5000)
         .start()
         .await;
-    // Up to 64 bytes are held until they are whole; longer bodies are on their way already.
+    // Bodies of up to 64 bytes are buffered until they are complete; longer ones are streamed.
     for size in [40_u64, 200] {
         for chunked in [false, true] {
             for cut in 0..=size {
@@ -115,9 +115,9 @@
                     request = request.with_header("standin-chunked", 1);
                 }
                 let reply = cluster.call(0, &request).await;
-                let is_length = !chunked && cut == size;
+                let is_full_length = !chunked && cut == size;
                 assert!(
-                    is_length || reply.status != 200 || !reply.is_complete,
+                    is_full_length || reply.status != 200 || !reply.is_complete,
                     "size {size}, chunked {chunked}, cut {cut}: {reply:?}"
                 );
                 if reply.status == 502 {
@@ -126,13 +126,17 @@
             }
         }
     }
-    let whole = Call::get("/red/alpha").with_header("standin-size", 200);
-    let reply = cluster.call(0, &whole).await;
+    let complete = Call::get("/red/alpha").with_header("standin-size", 200);
+    let reply = cluster.call(0, &complete).await;
     assert_eq!((reply.status, reply.body.len(), reply.is_complete), (200, 200, true));
 }
 
-/// Starts a minion that answers every request with the same bytes and then closes, or not.
-async fn scripted(ip: std::net::IpAddr, answer: &'static [u8], closes: bool) -> SocketAddr {
+/// Starts a minion that answers every request with the same bytes, then closes the connection if `closes`.
+async fn start_scripted_minion(
+    ip: std::net::IpAddr,
+    response: &'static [u8],
+    closes: bool,
+) -> SocketAddr {
     let listener = TcpListener::bind((ip, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -142,7 +146,7 @@
                 let mut buffer = [0; 4096];
                 while let Ok(count @ 1..) = stream.read(&mut buffer).await {
                     let _ = count;
-                    let _ = stream.write_all(answer).await;
+                    let _ = stream.write_all(response).await;
                     if closes {
                         return;
                     }
@@ -153,10 +157,11 @@
     address
 }
 
-async fn with_scripted(answer: &'static [u8], closes: bool) -> Cluster {
+/// Starts a cluster of one host whose only minion is scripted.
+async fn start_with_scripted_minion(response: &'static [u8], closes: bool) -> Cluster {
     let cluster =
         ClusterConfig::new(1, 0).with_entry(json!({ "minions": { "sends": 1 } })).start().await;
-    let address = scripted(cluster.hosts[0].callers.ip(), answer, closes).await;
+    let address = start_scripted_minion(cluster.hosts[0].callers.ip(), response, closes).await;
     let row = json!({ "address": address, "zone": "z1" });
     let version = cluster.change(vec![("minion/alpha/m0".to_owned(), row)]).await;
     cluster.wait_in_force(version).await;
@@ -169,24 +174,24 @@
 }
 
 #[tokio::test]
-async fn garbled_answers_and_answers_without_a_clear_end_are_unknown() {
+async fn malformed_or_unterminated_minion_responses_have_unknown_outcome() {
     let cases: [(&str, &'static [u8]); 4] = [
         ("garbage", b"\x00\x01\x02garbage\r\n\r\n"),
         ("no end", b"HTTP/1.1 200 OK\r\n\r\nhalf an ans"),
         ("two lengths", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
         ("bad chunk", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
     ];
-    for (name, answer) in cases {
-        let cluster = with_scripted(answer, true).await;
+    for (name, response) in cases {
+        let cluster = start_with_scripted_minion(response, true).await;
         let reply = cluster.call(0, &Call::post("/red/alpha", "")).await;
         assert_eq!((reply.status, reply.outcome()), (502, "unknown"), "{name}: {reply:?}");
     }
 }
 
 #[tokio::test]
-async fn a_second_answer_to_one_request_reaches_nobody() {
+async fn second_response_to_one_request_is_discarded() {
     let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
-    let cluster = with_scripted(twice, false).await;
+    let cluster = start_with_scripted_minion(twice, false).await;
     for _ in 0..50 {
         let reply = cluster.call(0, &Call::get("/red/alpha")).await;
         assert!(reply.status != 200 || reply.body == "first", "{reply:?}");
@@ -194,13 +199,16 @@
 }
 
 #[tokio::test]
-async fn a_late_answer_reaches_nobody_and_the_wait_ends_at_the_deadline() {
+async fn request_times_out_at_deadline_and_late_response_is_discarded() {
     let cluster = ClusterConfig::new(1, 1).with_deadline(800).start().await;
     let late = Call::post("/red/alpha", "late").with_header("standin-work", 1200);
     let started = Instant::now();
     let reply = cluster.call(0, &late).await;
     assert_eq!((reply.status, reply.error(), reply.outcome()), (504, "minion-timeout", "unknown"));
-    assert!(started.elapsed() < Duration::from_millis(1150), "the answer was held back");
+    assert!(
+        started.elapsed() < Duration::from_millis(1150),
+        "the response came long after the deadline"
+    );
     assert_eq!(reply.header("retry-after"), "1");
     for _ in 0..20 {
         let reply = cluster.call(0, &Call::post("/red/alpha", "mine")).await;
@@ -210,7 +218,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_reaches_a_caller_that_is_still_sending() {
+async fn rejection_reaches_a_caller_that_is_still_sending() {
     let cluster = ClusterConfig::new(1, 1).start().await;
     let large = Call::post("/red/alpha", &"x".repeat(16 << 20));
     for round in 0..20 {
@@ -220,11 +228,12 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_stops_reading_gives_its_slot_back() {
-    // More than the buffers of all sockets on the way hold.
+async fn slot_is_released_when_caller_stops_reading() {
+    // Larger than all socket buffers on the way together.
     let size = 50_000_000;
-    let stalled = json!({ "callers": { "stall_time": 500 } });
-    let cluster = ClusterConfig::new(1, 1).with_entry(stalled).with_deadline(5000).start().await;
+    let stall_timeout = json!({ "callers": { "stall_time": 500 } });
+    let cluster =
+        ClusterConfig::new(1, 1).with_entry(stall_timeout).with_deadline(5000).start().await;
     let mut stream = TcpStream::connect(cluster.hosts[0].callers).await.unwrap();
     let head = format!("GET /red/alpha HTTP/1.1\r\nHost: a\r\nstandin-size: {size}\r\n\r\n");
     stream.write_all(head.as_bytes()).await.unwrap();
@@ -232,24 +241,24 @@
         let state = fetch_state(cluster.hosts[0].entry_ops).await;
         state["services"][0]["minions"][0]["running"].as_u64().unwrap()
     };
-    eventually("the answer is on its way", async || (running().await == 1).then_some(())).await;
+    eventually("the response is being sent", async || (running().await == 1).then_some(())).await;
     eventually("the slot is free", async || (running().await == 0).then_some(())).await;
-    let mut got = Vec::new();
-    let ended = stream.read_to_end(&mut got).await;
-    assert!(ended.is_err() || got.len() < size, "a cut answer must not look whole");
+    let mut received = Vec::new();
+    let ended = stream.read_to_end(&mut received).await;
+    assert!(ended.is_err() || received.len() < size, "a truncated response must not look complete");
 }
 
 #[tokio::test]
-async fn frozen_and_killed_minions_are_left_alone_and_come_back() {
+async fn frozen_and_killed_minions_are_avoided_until_they_recover() {
     let mut cluster = ClusterConfig::new(1, 3).with_deadline(1000).start().await;
     cluster.minions[0].process.signal(Signal::SIGSTOP);
     cluster.minions[1].process.kill();
-    // Repeatable requests find the third minion; a few may run into the frozen one first.
-    let mut good = 0;
+    // Requests that may be repeated are retried on the third minion; a few may time out on the frozen one.
+    let mut served = 0;
     for _ in 0..60 {
-        good += u32::from(cluster.call(0, &Call::get("/red/alpha")).await.status == 200);
+        served += u32::from(cluster.call(0, &Call::get("/red/alpha")).await.status == 200);
     }
-    assert!(good >= 50, "only {good} of 60 were served");
+    assert!(served >= 50, "only {served} of 60 were served");
     cluster.minions[0].process.signal(Signal::SIGCONT);
     let before = cluster.minion_counts(0).await["ran"].as_u64().unwrap();
     eventually("the thawed minion serves again", async || {
--- a/reachhead/tests/system/path.rs
+++ b/reachhead/tests/system/path.rs
@@ -1,4 +1,4 @@
-//! A request end to end, and what the path answers when it can't be served.
+//! Requests end to end, and error responses of the request path.
 
 use serde_json::json;
 
@@ -8,7 +8,7 @@
 };
 
 #[tokio::test]
-async fn requests_for_two_services_are_answered_whole_by_every_host() {
+async fn every_host_serves_requests_of_both_services() {
     let cluster = ClusterConfig::new(3, 3).start().await;
     for host in 0..3 {
         for (path, key) in [("/red/alpha/x?y=1", ""), ("/blue/beta", "k"), ("/red/pay/7", "p")] {
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_change_reaches_every_host_and_a_faulty_one_none() {
+async fn valid_change_reaches_every_host_and_invalid_change_is_rejected() {
     let cluster = ClusterConfig::new(3, 2).start().await;
     let row = json!({ "path": "/new", "group": "red", "service": "beta" });
     let version = cluster.change(vec![("route/new".to_owned(), row)]).await;
@@ -33,19 +33,19 @@
     for host in 0..3 {
         assert_eq!(cluster.call(host, &Call::get("/new/path")).await.status, 200);
     }
-    let faulty = vec![
+    let invalid_rows = vec![
         ("route/bad".to_owned(), json!({ "path": "x", "group": "none", "service": "gone" })),
         ("group/bad".to_owned(), json!({ "parent": "bad" })),
     ];
-    let reply = cluster.try_change(&"0".repeat(32), faulty).await;
+    let reply = cluster.try_change(&"0".repeat(32), invalid_rows).await;
     assert_eq!(reply.status, 422, "{reply:?}");
-    for word in ["no service gone", "must start with '/'", "its own ancestor"] {
-        assert!(reply.body.contains(word), "{reply:?}");
+    for error in ["no service gone", "must start with '/'", "its own ancestor"] {
+        assert!(reply.body.contains(error), "{reply:?}");
     }
 }
 
 #[tokio::test]
-async fn the_system_names_the_kind_and_the_outcome_of_its_own_answers() {
+async fn error_responses_carry_error_kind_and_outcome() {
     let cluster = ClusterConfig::new(1, 1).start().await;
     let cases = [
         (Call::get("/nowhere"), 404, "no-route"),
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn wrong_tokens_get_nothing_from_the_admin() {
+async fn admin_rejects_requests_without_a_valid_token() {
     let cluster = ClusterConfig::new(0, 0).start().await;
     for request in [
         Call::get("/v1/rows"),
--- a/reachhead/tests/system/pools.rs
+++ b/reachhead/tests/system/pools.rs
@@ -1,4 +1,4 @@
-//! Hosts that move between pools while whoever is in charge is killed, frozen or cut off.
+//! Moves of hosts between pools while pool owners are killed, frozen or cut off from the store.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,7 +11,7 @@
 const HOSTS: [&str; 3] = ["h1", "h2", "h3"];
 
 /// Starts `hosts` entry hosts with the pools main and spare, and three workers in main.
-async fn with_workers(hosts: usize) -> Cluster {
+async fn start_with_workers(hosts: usize) -> Cluster {
     let cluster = ClusterConfig::new(hosts, 0).start().await;
     cluster.change(vec![("pool/spare".to_owned(), json!({ "group": "top" }))]).await;
     for host in HOSTS {
@@ -20,22 +20,22 @@
     cluster
 }
 
-async fn worker(cluster: &Cluster, host: &str) -> Value {
+async fn fetch_worker(cluster: &Cluster, host: &str) -> Value {
     cluster.admin_get(&format!("/v1/hosts/{host}")).await["row"].take()
 }
 
 /// Waits until a host is in `phase` in `pool`.
-async fn is_in(cluster: &Cluster, host: &str, pool: &str, phase: &str) {
+async fn wait_in_phase(cluster: &Cluster, host: &str, pool: &str, phase: &str) {
     eventually(&format!("{host} is {phase} in {pool}"), async || {
-        let row = worker(cluster, host).await;
+        let row = fetch_worker(cluster, host).await;
         (row["pool"] == pool && row["phase"] == phase).then_some(())
     })
     .await;
 }
 
-/// Returns the index of the entry host in charge of `pool`.
-async fn in_charge(cluster: &Cluster, pool: &str) -> usize {
-    eventually(&format!("someone is in charge of {pool}"), async || {
+/// Waits until an entry host owns `pool` and returns its index.
+async fn wait_owner(cluster: &Cluster, pool: &str) -> usize {
+    eventually(&format!("{pool} has an owner"), async || {
         let pools = cluster.admin_get("/v1/pools").await;
         let pool = pools.as_array()?.iter().find(|row| row["pool"] == pool)?.clone();
         let owner = pool["owner"].as_str()?;
@@ -44,39 +44,39 @@
     .await
 }
 
-/// Checks that each worker is in exactly one pool, by each pool's own list.
-async fn assert_one_pool_each(cluster: &Cluster) {
-    let mut found: BTreeMap<String, Vec<&str>> = BTreeMap::new();
+/// Asserts that each worker is in the host list of exactly one pool.
+async fn assert_in_one_pool(cluster: &Cluster) {
+    let mut pools_by_host: BTreeMap<String, Vec<&str>> = BTreeMap::new();
     for pool in ["main", "spare"] {
         let hosts = cluster.admin_get(&format!("/v1/hosts?pool={pool}")).await;
         for host in hosts.as_array().unwrap() {
-            found.entry(host["id"].as_str().unwrap().to_owned()).or_default().push(pool);
+            pools_by_host.entry(host["id"].as_str().unwrap().to_owned()).or_default().push(pool);
         }
     }
-    assert_eq!(found.len(), HOSTS.len(), "{found:?}");
-    assert!(found.values().all(|pools| pools.len() == 1), "{found:?}");
+    assert_eq!(pools_by_host.len(), HOSTS.len(), "{pools_by_host:?}");
+    assert!(pools_by_host.values().all(|pools| pools.len() == 1), "{pools_by_host:?}");
 }
 
 #[tokio::test]
-async fn a_host_moves_when_it_is_empty_and_not_before() {
-    let cluster = with_workers(2).await;
+async fn host_is_handed_over_only_when_it_is_empty() {
+    let cluster = start_with_workers(2).await;
     cluster.set_host_state(json!({ "host": "h1", "running": 1 })).await;
     cluster.move_worker("h1", "spare").await;
-    is_in(&cluster, "h1", "main", "draining").await;
-    // Longer than the time for which it must be seen drained.
+    wait_in_phase(&cluster, "h1", "main", "draining").await;
+    // Longer than the period for which a host must be observed as drained.
     time::sleep(Duration::from_secs(2)).await;
-    is_in(&cluster, "h1", "main", "draining").await;
+    wait_in_phase(&cluster, "h1", "main", "draining").await;
     cluster.set_host_state(json!({ "host": "h1", "running": 0 })).await;
-    is_in(&cluster, "h1", "spare", "serving").await;
-    assert_eq!(worker(&cluster, "h1").await["epoch"], 1);
-    assert_one_pool_each(&cluster).await;
-    // A move that is taken back leaves the host serving where it is.
+    wait_in_phase(&cluster, "h1", "spare", "serving").await;
+    assert_eq!(fetch_worker(&cluster, "h1").await["epoch"], 1);
+    assert_in_one_pool(&cluster).await;
+    // A cancelled move leaves the host serving in its pool.
     cluster.set_host_state(json!({ "host": "h2", "running": 1 })).await;
     cluster.move_worker("h2", "spare").await;
-    is_in(&cluster, "h2", "main", "draining").await;
+    wait_in_phase(&cluster, "h2", "main", "draining").await;
     cluster.move_worker("h2", "main").await;
-    is_in(&cluster, "h2", "main", "serving").await;
-    // A pool with hosts can't be deleted, and none can be added to one that is gone.
+    wait_in_phase(&cluster, "h2", "main", "serving").await;
+    // A pool with hosts can't be deleted, and no host can be added to a pool that does not exist.
     let reply = cluster.delete("pool/spare").await;
     assert_eq!(reply.status, 422, "{reply:?}");
     let new = json!({ "host": "h9", "pool": "gone", "zone": "z1", "rack": "r1" }).to_string();
@@ -84,44 +84,44 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_is_frozen_past_its_lease_moves_nothing_twice() {
-    let cluster = with_workers(3).await;
+async fn owner_frozen_past_its_lease_repeats_no_move() {
+    let cluster = start_with_workers(3).await;
     cluster.set_host_state(json!({ "host": "h1", "running": 1 })).await;
     cluster.move_worker("h1", "spare").await;
-    is_in(&cluster, "h1", "main", "draining").await;
-    let frozen = in_charge(&cluster, "main").await;
+    wait_in_phase(&cluster, "h1", "main", "draining").await;
+    let frozen = wait_owner(&cluster, "main").await;
     cluster.hosts[frozen].control.signal(Signal::SIGSTOP);
-    eventually("another is in charge", async || {
-        (in_charge(&cluster, "main").await != frozen).then_some(())
+    eventually("another host owns the pool", async || {
+        (wait_owner(&cluster, "main").await != frozen).then_some(())
     })
     .await;
     cluster.set_host_state(json!({ "host": "h1", "running": 0 })).await;
-    is_in(&cluster, "h1", "spare", "serving").await;
-    // What the thawed one still believes must not undo the move, nor the next one.
+    wait_in_phase(&cluster, "h1", "spare", "serving").await;
+    // The stale state of the thawed owner must undo neither this move nor the next one.
     cluster.move_worker("h2", "spare").await;
     cluster.hosts[frozen].control.signal(Signal::SIGCONT);
-    is_in(&cluster, "h2", "spare", "serving").await;
+    wait_in_phase(&cluster, "h2", "spare", "serving").await;
     time::sleep(Duration::from_secs(2)).await;
-    is_in(&cluster, "h1", "spare", "serving").await;
-    assert_eq!(worker(&cluster, "h1").await["epoch"], 1);
-    assert_eq!(worker(&cluster, "h2").await["epoch"], 1);
-    assert_one_pool_each(&cluster).await;
+    wait_in_phase(&cluster, "h1", "spare", "serving").await;
+    assert_eq!(fetch_worker(&cluster, "h1").await["epoch"], 1);
+    assert_eq!(fetch_worker(&cluster, "h2").await["epoch"], 1);
+    assert_in_one_pool(&cluster).await;
 }
 
 #[tokio::test]
-async fn owners_killed_between_every_two_steps_of_a_move_lose_nothing() {
-    let mut cluster = with_workers(4).await;
-    // Before the drain: the row says so, and the platform does not know yet.
+async fn move_completes_when_owners_are_killed_between_steps() {
+    let mut cluster = start_with_workers(4).await;
+    // Before the drain: the row says draining, but the platform refuses the order.
     cluster.set_store_fault(json!({ "refuse_hosts": true })).await;
     cluster.move_worker("h1", "spare").await;
-    is_in(&cluster, "h1", "main", "draining").await;
-    let owner = in_charge(&cluster, "main").await;
+    wait_in_phase(&cluster, "h1", "main", "draining").await;
+    let owner = wait_owner(&cluster, "main").await;
     cluster.hosts[owner].control.kill();
     cluster.set_host_state(json!({ "host": "h1", "running": 1 })).await;
     cluster.set_store_fault(json!({})).await;
-    // Between the drain and the hand-over.
-    eventually("another is in charge", async || {
-        (in_charge(&cluster, "main").await != owner).then_some(())
+    // Between the drain and the handover.
+    eventually("another host owns the pool", async || {
+        (wait_owner(&cluster, "main").await != owner).then_some(())
     })
     .await;
     eventually("the host is drained", async || {
@@ -133,33 +133,33 @@
         reply.body.contains("reachhead/").then_some(())
     })
     .await;
-    let owner = in_charge(&cluster, "main").await;
+    let owner = wait_owner(&cluster, "main").await;
     cluster.hosts[owner].control.kill();
-    // Between the hand-over and the end of the drain.
+    // Between the handover and the end of the drain.
     cluster.set_store_fault(json!({ "refuse_hosts": true })).await;
     cluster.set_host_state(json!({ "host": "h1", "running": 0 })).await;
-    is_in(&cluster, "h1", "spare", "arriving").await;
-    let owner = in_charge(&cluster, "spare").await;
+    wait_in_phase(&cluster, "h1", "spare", "arriving").await;
+    let owner = wait_owner(&cluster, "spare").await;
     cluster.hosts[owner].control.kill();
     cluster.set_store_fault(json!({})).await;
-    is_in(&cluster, "h1", "spare", "serving").await;
-    assert_eq!(worker(&cluster, "h1").await["epoch"], 1);
-    assert_one_pool_each(&cluster).await;
+    wait_in_phase(&cluster, "h1", "spare", "serving").await;
+    assert_eq!(fetch_worker(&cluster, "h1").await["epoch"], 1);
+    assert_in_one_pool(&cluster).await;
 }
 
 #[tokio::test]
-async fn a_store_outage_in_the_middle_of_a_move_and_lost_answers_are_lived_through() {
-    let cluster = with_workers(2).await;
+async fn moves_complete_despite_store_outage_and_lost_responses() {
+    let cluster = start_with_workers(2).await;
     for host in HOSTS {
         cluster.move_worker(host, "spare").await;
     }
-    is_in(&cluster, "h1", "main", "draining").await;
+    wait_in_phase(&cluster, "h1", "main", "draining").await;
     cluster.set_store_fault(json!({ "hang": true })).await;
     time::sleep(Duration::from_secs(3)).await;
     cluster.set_store_fault(json!({ "lose": 4, "lose_prefix": "host/" })).await;
     for host in HOSTS {
-        is_in(&cluster, host, "spare", "serving").await;
-        assert_eq!(worker(&cluster, host).await["epoch"], 1);
+        wait_in_phase(&cluster, host, "spare", "serving").await;
+        assert_eq!(fetch_worker(&cluster, host).await["epoch"], 1);
     }
-    assert_one_pool_each(&cluster).await;
+    assert_in_one_pool(&cluster).await;
 }
--- a/reachhead/tests/system/settings.rs
+++ b/reachhead/tests/system/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files with faults: each gets its clear error and nothing is started.
+//! Invalid settings files are rejected with specific errors, and nothing is started.
 
 use std::{
     env, fs,
@@ -9,13 +9,13 @@
 
 use reachhead_harness::process::program_path;
 
-/// Exit code of settings with faults.
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: i32 = 3;
 
-/// Exit code of a command line that can't be understood.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: i32 = 2;
 
-fn write(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = env::temp_dir().join(format!("reachhead-{}-{name}.jsonc", std::process::id()));
     fs::write(&path, text).unwrap();
     path
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_faulty_file_gets_its_error_from_check_and_from_the_program() {
+fn invalid_settings_are_rejected_by_check_and_by_the_program() {
     let rest = r#""host": "e1", "zone": "z", "ops": { "address": "127.0.0.1:1" },
         "store": { "address": "127.0.0.1:2" }, "callers": { "address": "127.0.0.1:3" },
         "link": { "control": "127.0.0.1:4", "ask": "127.0.0.1:5" }"#;
@@ -74,7 +74,7 @@
         ),
     ];
     for (name, text, errors) in cases {
-        let path = write(name, text);
+        let path = write_file(name, text);
         let path = path.to_str().unwrap();
         for output in
             [run("reachhead", &["check", path]), run("reachhead-entry", &["--settings", path])]
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn every_program_tells_usage_help_and_version_apart() {
+fn every_program_has_help_and_version_and_rejects_unknown_flags() {
     for name in ["reachhead", "reachhead-entry", "reachhead-control", "reachhead-admin"] {
         let version = run(name, &["--version"]);
         assert!(version.status.success());
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn settings_of_another_program_are_refused() {
-    let path = write("other", r#"{ "program": "control", "host": "e1", "zone": "z" }"#);
+fn settings_of_another_program_are_rejected() {
+    let path = write_file("other", r#"{ "program": "control", "host": "e1", "zone": "z" }"#);
     let output = run("reachhead-entry", &["--settings", path.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(EXIT_SETTINGS));
     assert!(String::from_utf8_lossy(&output.stderr).contains("settings of control"));
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn a_taken_address_is_a_runtime_error_and_nothing_stays_behind() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = taken.local_addr().unwrap();
-    let path = write(
+fn address_in_use_ends_the_program_with_a_runtime_error() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let path = write_file(
         "taken",
         &format!(
             r#"{{ "program": "admin", "host": "e1", "zone": "z", "ops": {{ "address": "{address}" }},
