--- a/reachhead/tests/system/limits.rs
+++ b/reachhead/tests/system/limits.rs
@@ -72,7 +72,7 @@
     sums
 }
 
-/// Returns the slots that an entry host has of each minion.
+/// Returns an entry host's share of slots at each minion.
 fn minion_limits(state: &Value) -> Vec<u64> {
     let services = state["services"].as_array().unwrap();
     let minions = services.iter().flat_map(|service| service["minions"].as_array().unwrap());
--- a/reachhead/tests/system/waves.rs
+++ b/reachhead/tests/system/waves.rs
@@ -54,7 +54,7 @@
 }
 
 /// Returns the number of hosts that the wave has made unavailable.
-fn count_away(hosts: &BTreeMap<String, Value>) -> usize {
+fn count_unavailable(hosts: &BTreeMap<String, Value>) -> usize {
     hosts.values().filter(|host| host["phase"] != "serving").count()
 }
 
@@ -67,7 +67,7 @@
 async fn wait_all_done(cluster: &Cluster, limit: usize) {
     eventually("every host is done", async || {
         let hosts = fetch_hosts(cluster).await;
-        assert!(count_away(&hosts) <= limit, "{hosts:?}");
+        assert!(count_unavailable(&hosts) <= limit, "{hosts:?}");
         (count_done(&hosts) == hosts.len()).then_some(())
     })
     .await;
@@ -103,19 +103,19 @@
     // With a single pool, it is known which host goes first.
     start_wave(&cluster, &["main"]).await;
     eventually("two hosts are being drained", async || {
-        (count_away(&fetch_hosts(&cluster).await) == 2).then_some(())
+        (count_unavailable(&fetch_hosts(&cluster).await) == 2).then_some(())
     })
     .await;
     for host in ["w2", "w3"] {
         cluster.set_host_state(json!({ "host": host, "is_up": false })).await;
     }
     eventually("the drains are cancelled", async || {
-        (count_away(&fetch_hosts(&cluster).await) == 0).then_some(())
+        (count_unavailable(&fetch_hosts(&cluster).await) == 0).then_some(())
     })
     .await;
     // No drain may start while the failures use up the budget.
     for _ in 0..10 {
-        assert_eq!(count_away(&fetch_hosts(&cluster).await), 0);
+        assert_eq!(count_unavailable(&fetch_hosts(&cluster).await), 0);
         time::sleep(Duration::from_millis(100)).await;
     }
     let held = fetch_hosts(&cluster).await["w0"]["hold"].as_str().unwrap_or_default().to_owned();
@@ -174,7 +174,7 @@
     .await;
     time::sleep(Duration::from_secs(1)).await;
     assert_eq!(
-        count_away(&fetch_hosts(&cluster).await),
+        count_unavailable(&fetch_hosts(&cluster).await),
         0,
         "a paused wave must not start another host"
     );
@@ -183,12 +183,12 @@
     }
     set_state(&cluster, "running").await;
     eventually("the next host is drained", async || {
-        (count_away(&fetch_hosts(&cluster).await) == 1).then_some(())
+        (count_unavailable(&fetch_hosts(&cluster).await) == 1).then_some(())
     })
     .await;
     set_state(&cluster, "cancelled").await;
     eventually("the drain is cancelled", async || {
-        (count_away(&fetch_hosts(&cluster).await) == 0).then_some(())
+        (count_unavailable(&fetch_hosts(&cluster).await) == 0).then_some(())
     })
     .await;
     assert_eq!(fetch_boots(&cluster, 3).await, [1, 0, 0]);
--- a/reachhead_harness/src/caller.rs
+++ b/reachhead_harness/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and tells exactly what came back.
+//! HTTP client that sends one request per connection and reports incomplete responses as such.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -8,10 +8,10 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, time};
 
-/// Longest wait for an answer.
-const ANSWER_TIME: Duration = Duration::from_secs(60);
+/// Timeout of one request.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A request.
+/// HTTP request to send.
 #[derive(Debug, Clone)]
 pub struct Call {
     method: &'static str,
@@ -20,16 +20,16 @@
     body: String,
 }
 
-/// What came back.
+/// Response as far as it was received.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// HTTP status; 0 if no head came.
+    /// HTTP status; 0 if the connection broke before the response head.
     pub status: u16,
     /// Header fields.
     pub headers: BTreeMap<String, String>,
-    /// The body as far as it came.
+    /// Body as far as it was received, with invalid UTF-8 replaced.
     pub body: String,
-    /// Whether the body came whole.
+    /// Whether the whole body was received.
     pub is_complete: bool,
 }
 
@@ -62,27 +62,32 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Returns what the system says became of the request.
+    /// Returns the outcome of the request that the system reports; empty if there is none.
     pub fn outcome(&self) -> &str {
         self.header("reachhead-outcome")
     }
 
-    /// Returns the kind of error that the system names.
+    /// Returns the kind of error that the system reports; empty if there is none.
     pub fn error(&self) -> &str {
         self.header("reachhead-error")
     }
 
+    /// Returns the reply for a connection that broke before the response head.
     fn broken() -> Self {
         Self { status: 0, headers: BTreeMap::new(), body: String::new(), is_complete: false }
     }
 }
 
-/// Sends `call` to `address` on a connection of its own.
+/// Sends `call` to `address` on a new connection.
+///
+/// # Panics
+///
+/// If the response takes longer than 60 s.
 pub async fn call(address: SocketAddr, call: &Call) -> Reply {
-    match time::timeout(ANSWER_TIME, exchange(address, call)).await {
+    match time::timeout(CALL_TIMEOUT, exchange(address, call)).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(_)) => Reply::broken(),
-        Err(_) => panic!("no answer to {call:?} from {address}"),
+        Err(_) => panic!("no response to {call:?} from {address} within 60 s"),
     }
 }
 
--- a/reachhead_harness/src/cluster/calls.rs
+++ b/reachhead_harness/src/cluster/calls.rs
@@ -1,4 +1,4 @@
-//! What tests ask of a running system: changes, faults, reads, counts.
+//! Operations on a running cluster: configuration changes, fault injection, reads and counters.
 
 use serde_json::{Value, json};
 
@@ -9,15 +9,19 @@
 };
 
 impl Cluster {
-    /// Makes one change and returns its version.
+    /// Writes `rows` as one change and returns its version.
+    ///
+    /// # Panics
+    ///
+    /// If the admin does not accept the change.
     pub async fn change(&self, rows: Vec<(String, Value)>) -> u64 {
         let reply = self.try_change(&random_id(), rows).await;
         assert_eq!(reply.status, 200, "{reply:?}");
-        let accepted: Value = serde_json::from_str(&reply.body).expect("the test system works");
-        accepted["version"].as_u64().expect("the test system works")
+        let accepted: Value = serde_json::from_str(&reply.body).expect("the reply is JSON");
+        accepted["version"].as_u64().expect("the reply has a version")
     }
 
-    /// Asks the admin for one change.
+    /// Submits `rows` to the admin as one change and returns its reply.
     pub async fn try_change(&self, id: &str, rows: Vec<(String, Value)>) -> Reply {
         let writes: Vec<Value> =
             rows.into_iter().map(|(key, value)| json!({ "key": key, "value": value })).collect();
@@ -25,13 +29,13 @@
         self.admin_call(Call::post("/v1/changes", &body)).await
     }
 
-    /// Deletes a row.
+    /// Deletes a row and returns the admin's reply.
     pub async fn delete(&self, key: &str) -> Reply {
         let body = json!({ "id": random_id(), "writes": [{ "key": key }] }).to_string();
         self.admin_call(Call::post("/v1/changes", &body)).await
     }
 
-    /// Calls the admin as an operator.
+    /// Sends a request with the operators' token to the admin.
     pub async fn admin_call(&self, request: Call) -> Reply {
         let request = request.with_header("authorization", format!("Bearer {TOKEN}"));
         call(self.admin, &request).await
@@ -55,15 +59,15 @@
         }
     }
 
-    /// Sets what the store does wrong.
+    /// Sets the faults of the store, in place of the current ones.
     pub async fn set_store_fault(&self, fault: Value) {
         let reply = call(self.store, &Call::post("/fault", &fault.to_string())).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     }
 
-    /// Sets how the platform finds a host.
-    pub async fn set_host_state(&self, knob: Value) {
-        let reply = call(self.store, &Call::post("/platform", &knob.to_string())).await;
+    /// Sets the state of a host that the platform reports, such as `running` and `is_up`.
+    pub async fn set_host_state(&self, state: Value) {
+        let reply = call(self.store, &Call::post("/platform", &state.to_string())).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     }
 
@@ -74,7 +78,7 @@
         assert_eq!(reply.status, 200, "{reply:?}");
     }
 
-    /// Puts the minions on `count` workers in turn, w0 first.
+    /// Assigns the minions to `count` workers by number, modulo `count`: `m0` to `w0`.
     pub async fn place_minions(&self, count: usize) {
         let mut rows = Vec::new();
         for minion in &self.minions {
@@ -87,40 +91,40 @@
         self.wait_in_force(version).await;
     }
 
-    /// Asks for a host to be moved to a pool.
+    /// Requests the move of a host to a pool.
     pub async fn move_worker(&self, host: &str, pool: &str) {
-        let want = json!({ "pool": pool }).to_string();
-        let reply = self.admin_call(Call::post(&format!("/v1/hosts/{host}/want"), &want)).await;
+        let request = json!({ "pool": pool }).to_string();
+        let reply = self.admin_call(Call::post(&format!("/v1/hosts/{host}/want"), &request)).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     }
 
-    /// Returns what an admin's read of `path` gives.
+    /// Returns the JSON that the admin serves at `path`.
     pub async fn admin_get(&self, path: &str) -> Value {
         let reply = self.admin_call(Call::get(path)).await;
         assert_eq!(reply.status, 200, "{reply:?}");
-        serde_json::from_str(&reply.body).expect("the test system works")
+        serde_json::from_str(&reply.body).expect("the reply is JSON")
     }
 
-    /// Returns the store's counts.
+    /// Returns the store's counters of calls.
     pub async fn store_counts(&self) -> Value {
         let reply = call(self.store, &Call::get("/count")).await;
-        serde_json::from_str(&reply.body).expect("the test system works")
+        serde_json::from_str(&reply.body).expect("the reply is JSON")
     }
 
-    /// Sets what a minion does wrong.
+    /// Sets the faults of a minion, in place of the current ones.
     pub async fn set_minion_fault(&self, index: usize, fault: Value) {
         let body = fault.to_string();
         let reply = call(self.minions[index].address, &Call::post("/standin/fault", &body)).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     }
 
-    /// Returns what a minion counted.
+    /// Returns a minion's counters of requests and connections.
     pub async fn minion_counts(&self, index: usize) -> Value {
         let reply = call(self.minions[index].address, &Call::get("/standin/count")).await;
-        serde_json::from_str(&reply.body).expect("the test system works")
+        serde_json::from_str(&reply.body).expect("the reply is JSON")
     }
 
-    /// Returns how often requests with `key` ran, over all minions that answer.
+    /// Returns how often requests with `key` ran, summed over all minions.
     pub async fn count_runs(&self, key: &str) -> u64 {
         let mut runs = 0;
         for index in 0..self.minions.len() {
--- a/reachhead_harness/src/cluster/mod.rs
+++ b/reachhead_harness/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A whole system on one loopback address: store, minions, entry hosts, admin.
+//! Cluster of processes on one loopback address: store, minions, entry hosts and admins.
 
 mod calls;
 
@@ -22,48 +22,49 @@
     proxy::Proxy,
 };
 
-/// The operators' token of every test.
+/// Operator token that the admins of every cluster accept, for the whole tree of groups.
 pub const TOKEN: &str = "test-token";
 
-/// Salt of the token's hash.
+/// Salt of [`TOKEN_HASH`].
 const SALT: &str = "salt";
 
-/// SHA-256 of salt and token.
+/// SHA-256 of [`SALT`] and [`TOKEN`].
 const TOKEN_HASH: &str = "490758e49266fbf781053695c50cdba3d40321add81f41d6d7dfd7acc5833dfb";
 
-/// Availability zones of every test.
+/// Availability zones over which entry hosts and minions are spread.
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+/// Next number for a loopback address or a host name.
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// An entry host: its two processes and their addresses.
+/// Entry host: its control and entry processes and their addresses.
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// `reachhead-control`.
+    /// Process of `reachhead-control`.
     pub control: Process,
-    /// `reachhead-entry`.
+    /// Process of `reachhead-entry`.
     pub entry: Process,
-    /// Where callers connect.
+    /// Address of the entry process for callers.
     pub callers: SocketAddr,
-    /// The ops listener of the entry process.
+    /// Address of the entry process's ops listener.
     pub entry_ops: SocketAddr,
     control_link: SocketAddr,
 }
 
-/// A minion process.
+/// Minion process.
 pub struct Minion {
-    /// Its name in the service.
+    /// Name of the minion in its service.
     pub id: String,
-    /// Its service.
+    /// Name of the service.
     pub service: String,
-    /// Where it listens.
+    /// Address that the minion listens on.
     pub address: SocketAddr,
-    /// The process.
+    /// Process of the minion.
     pub process: Process,
 }
 
-/// What a test wants.
+/// Size and settings of a cluster.
 pub struct ClusterConfig {
     hosts: usize,
     minions: usize,
@@ -73,36 +74,37 @@
     control: Value,
 }
 
-/// A running system.
+/// Running cluster; its processes end when it is dropped.
 pub struct Cluster {
     folder: PathBuf,
     ip: IpAddr,
-    plan: ClusterConfig,
-    /// Where the store listens.
+    config: ClusterConfig,
+    /// Address of the store.
     pub store: SocketAddr,
     _store_process: Process,
-    /// The minions in the order in which they were started.
+    /// Minions in the order of their start.
     pub minions: Vec<Minion>,
-    /// The entry hosts in the order in which they were started.
+    /// Entry hosts in the order of their start.
     pub hosts: Vec<Host>,
-    /// Where the admin listens.
+    /// Address of the first admin's API.
     pub admin: SocketAddr,
     admins: Vec<Admin>,
 }
 
-/// An admin process.
+/// Admin process.
 struct Admin {
     address: SocketAddr,
     _process: Process,
 }
 
 impl ClusterConfig {
-    /// Returns a plan of `hosts` entry hosts and `minions` minions for each of two services.
+    /// Returns the configuration of a cluster with `hosts` entry hosts and `minions` minions for each of two
+    /// services.
     pub fn new(hosts: usize, minions: usize) -> Self {
         Self { hosts, minions, work: 0, deadline: 1500, entry: json!({}), control: json!({}) }
     }
 
-    /// Sets the milliseconds that a minion works on a request.
+    /// Sets the time that a minion works on a request, in milliseconds.
     pub fn with_work(mut self, work: u64) -> Self {
         self.work = work;
         self
@@ -114,28 +116,28 @@
         self
     }
 
-    /// Sets sections of the entry processes' settings.
+    /// Overrides settings of the entry processes, by section.
     pub fn with_entry(mut self, entry: Value) -> Self {
         self.entry = entry;
         self
     }
 
-    /// Sets sections of the control processes' settings.
+    /// Overrides settings of the control processes, by section.
     pub fn with_control(mut self, control: Value) -> Self {
         self.control = control;
         self
     }
 
-    /// Starts the store, the minions and the admin, without configuration and entry hosts.
+    /// Starts the store, the admin and the minions, without configuration rows and entry hosts.
     pub async fn start_bare(self) -> Cluster {
         Cluster::start_bare(self).await
     }
 
-    /// Starts everything and waits until every entry host is ready.
+    /// Starts the whole cluster with its configuration rows and waits until every entry host is ready.
     pub async fn start(self) -> Cluster {
         let mut cluster = Cluster::start_bare(self).await;
         cluster.configure().await;
-        for _ in 0..cluster.plan.hosts {
+        for _ in 0..cluster.config.hosts {
             cluster.add_host();
         }
         cluster.wait_all_ready().await;
@@ -158,17 +160,17 @@
 }
 
 /// Returns a loopback address that no other test uses.
-fn own_ip() -> IpAddr {
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+fn allocate_ip() -> IpAddr {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, 1 + (high ^ (number >> 8) as u8) % 250, low, 1 + number as u8))
 }
 
 impl Cluster {
-    async fn start_bare(plan: ClusterConfig) -> Self {
-        let ip = own_ip();
+    async fn start_bare(config: ClusterConfig) -> Self {
+        let ip = allocate_ip();
         let folder = env::temp_dir().join(format!("reachhead-test-{}-{ip}", process::id()));
-        fs::create_dir_all(&folder).expect("the test system works");
+        fs::create_dir_all(&folder).expect("the folder of the cluster can be created");
         let store = free_address(ip);
         let store_process = Process::start(
             &folder,
@@ -181,7 +183,7 @@
         let mut cluster = Self {
             folder,
             ip,
-            plan,
+            config,
             store,
             _store_process: store_process,
             minions: Vec::new(),
@@ -190,18 +192,18 @@
             admins: vec![admin],
         };
         for service in ["alpha", "beta"] {
-            for number in 0..cluster.plan.minions {
+            for number in 0..cluster.config.minions {
                 cluster.add_minion(service, &format!("m{number}")).await;
             }
         }
         cluster
     }
 
-    /// Starts a minion; it gets no work before it is configured.
+    /// Starts a minion; it receives no requests before it has a configuration row.
     pub async fn add_minion(&mut self, service: &str, id: &str) {
         let address = free_address(self.ip);
         let args =
-            ["minion", "--address", &address.to_string(), "--work", &self.plan.work.to_string()];
+            ["minion", "--address", &address.to_string(), "--work", &self.config.work.to_string()];
         let args = args.map(str::to_owned);
         let name = format!("minion-{service}-{id}-{}", address.port());
         let process = Process::start(&self.folder, &name, "reachhead-standin", &args);
@@ -215,13 +217,14 @@
         self.add_host_with_store(self.store);
     }
 
-    /// Starts an entry host that reaches the store at another address.
+    /// Starts an entry host that connects to the store at `store`, which may be a proxy.
     pub fn add_host_with_store(&mut self, store: SocketAddr) {
         let [control_link, entry_link] = [(); 2].map(|()| free_address(self.ip));
         self.start_host(store, [control_link, entry_link], [control_link, entry_link]);
     }
 
-    /// Starts an entry host that its peers reach over wires alone, its control and its entry process.
+    /// Starts an entry host whose control and entry processes are reached by peers only through the returned
+    /// proxies, in this order.
     pub async fn add_host_behind_proxies(&mut self) -> [Proxy; 2] {
         let links = [(); 2].map(|()| free_address(self.ip));
         let control = Proxy::new(self.ip, links[0]).await;
@@ -230,8 +233,8 @@
         [control, entry]
     }
 
-    /// Starts an entry host whose control and entry process answer at `links` and say that they do at
-    /// `advertised`.
+    /// Starts an entry host whose control and entry processes listen on `links` and advertise `advertised`
+    /// to peers.
     fn start_host(
         &mut self,
         store: SocketAddr,
@@ -239,7 +242,7 @@
         advertised: [SocketAddr; 2],
     ) {
         let [control_link, entry_link] = links;
-        let name = format!("e{}", NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!("e{}", NEXT_NUMBER.fetch_add(1, Ordering::Relaxed));
         let zone = ZONES[self.hosts.len() % ZONES.len()];
         let [control_ops, entry_ops, callers] = [(); 3].map(|()| free_address(self.ip));
         let mut control =
@@ -252,7 +255,7 @@
             "link": { "control": control_link, "ask": entry_link, "period": 50 },
             "shutdown": { "lag": 300, "limit": 20000 },
         });
-        merge(&mut entry, &self.plan.entry);
+        merge(&mut entry, &self.config.entry);
         let args = write_settings(&self.folder, &format!("control-{name}"), &control);
         let control =
             Process::start(&self.folder, &format!("control-{name}"), "reachhead-control", &args);
@@ -272,7 +275,7 @@
 
     /// Starts the control process of an entry host without an entry process.
     pub fn add_control_process(&mut self) -> Process {
-        let name = format!("c{}", NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!("c{}", NEXT_NUMBER.fetch_add(1, Ordering::Relaxed));
         let [ops, link, entry] = [(); 3].map(|()| free_address(self.ip));
         let settings = self.control_settings(&name, "z1", self.store, ops, link, entry);
         let args = write_settings(&self.folder, &format!("control-{name}"), &settings);
@@ -298,13 +301,13 @@
             "follow": { "version": 50, "members": 50 },
             "pools": { "round": 100, "drain": 1000, "hand_over": 2000, "confirm": 500 },
         });
-        merge(&mut settings, &self.plan.control);
+        merge(&mut settings, &self.config.control);
         settings
     }
 
-    /// Writes the groups, services and routes of every test.
+    /// Writes the groups, the pool, the services, the routes and the minions that every test uses.
     pub async fn configure(&self) {
-        let deadline = self.plan.deadline;
+        let deadline = self.config.deadline;
         let mut rows = vec![
             ("group/top".to_owned(), json!({ "settings": { "deadline": deadline } })),
             ("group/red".to_owned(), json!({ "parent": "top" })),
@@ -347,23 +350,23 @@
     }
 }
 
-/// Returns a free port of `ip`; only this test uses the address, so it stays free.
+/// Returns an address of `ip` with a free port; it stays free, since only this test uses `ip`.
 pub fn free_address(ip: IpAddr) -> SocketAddr {
-    // The system may name a port again that nobody listens on yet, so the given ones are kept.
-    static GIVEN: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
+    // The kernel may choose the same port again before a process listens on it, so each is returned once.
+    static RETURNED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
     let _spawn = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     loop {
         let address = TcpListener::bind((ip, 0))
-            .expect("the test system works")
+            .expect("a port is free")
             .local_addr()
-            .expect("the test system works");
-        if GIVEN.lock().expect("the test system works").insert(address) {
+            .expect("a listener has an address");
+        if RETURNED.lock().expect("no holder of the lock has panicked").insert(address) {
             return address;
         }
     }
 }
 
-/// Waits until something listens on `address`.
+/// Waits until a process accepts connections at `address`.
 pub async fn wait_listening(address: SocketAddr) {
     eventually(&format!("{address} listens"), async || {
         tokio::net::TcpStream::connect(address).await.ok().map(drop)
@@ -371,7 +374,7 @@
     .await;
 }
 
-/// Waits until the process with the ops listener at `address` is ready.
+/// Waits until the process with its ops listener at `address` reports that it is ready.
 pub async fn wait_ready(address: SocketAddr) {
     eventually(&format!("{address} is ready"), async || {
         (caller::call(address, &Call::get("/ready")).await.status == 200).then_some(())
@@ -379,24 +382,25 @@
     .await;
 }
 
-/// Returns the state dump of a process.
+/// Returns the state that a process reports at its ops listener; null if the process does not respond.
 pub async fn fetch_state(ops: SocketAddr) -> Value {
     let reply = call(ops, &Call::get("/state")).await;
     serde_json::from_str(&reply.body).unwrap_or_default()
 }
 
-/// Returns an id for a change.
+/// Returns a random id, as each change needs one.
 pub fn random_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
+/// Writes a settings file and returns the command-line arguments that select it.
 fn write_settings(folder: &Path, name: &str, settings: &Value) -> Vec<String> {
     let path = folder.join(format!("{name}.jsonc"));
-    fs::write(&path, settings.to_string()).expect("the test system works");
+    fs::write(&path, settings.to_string()).expect("the settings file can be written");
     vec!["--settings".to_owned(), path.display().to_string()]
 }
 
-/// Writes the sections of `changes` over those of `settings`.
+/// Overrides single values of `settings` with those of `changes`, section by section.
 fn merge(settings: &mut Value, changes: &Value) {
     for (section, values) in changes.as_object().into_iter().flatten() {
         for (key, value) in values.as_object().into_iter().flatten() {
--- a/reachhead_harness/src/lib.rs
+++ b/reachhead_harness/src/lib.rs
@@ -1,6 +1,6 @@
-//! Starts whole systems as processes on loopback, sends requests, and harms processes by their id.
+//! Harness that starts whole clusters as processes on loopback, sends requests and injects faults.
 //!
-//! For tests and measurements only, so it panics where it can't go on.
+//! For tests and measurements only: errors of the harness itself panic.
 
 pub mod caller;
 pub mod cluster;
@@ -16,20 +16,24 @@
 
 use tokio::time::{self, Instant};
 
-/// Longest wait for anything that should happen soon; generous, for busy machines.
+/// Timeout of [`eventually`]; long enough for busy machines.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at something that is waited for.
+/// Pause between two polls of an awaited condition.
 pub const POLL_PERIOD: Duration = Duration::from_millis(25);
 
-/// Waits until `look` gives a value.
-pub async fn eventually<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let limit = Instant::now() + WAIT_TIMEOUT;
+/// Polls `poll` until it returns a value; `what` describes the awaited condition.
+///
+/// # Panics
+///
+/// If there is no value within [`WAIT_TIMEOUT`].
+pub async fn eventually<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(value) = look().await {
+        if let Some(value) = poll().await {
             return value;
         }
-        assert!(Instant::now() < limit, "waited in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         time::sleep(POLL_PERIOD).await;
     }
 }
--- a/reachhead_harness/src/process.rs
+++ b/reachhead_harness/src/process.rs
@@ -1,4 +1,4 @@
-//! One process and what can be done to it.
+//! Child processes: start, signals, exit and resource usage.
 
 use std::{
     env,
@@ -16,60 +16,61 @@
 
 use crate::eventually;
 
-/// Clock ticks a second in which Linux counts processor time.
-const TICKS: u64 = 100;
+/// Ticks per second of the processor times in `/proc/PID/stat`.
+const TICKS_PER_S: u64 = 100;
 
-/// Bytes of a memory page as Linux counts resident memory.
-const PAGE: u64 = 4096;
+/// Size of a memory page, the unit of resident memory in `/proc/PID/stat`.
+const PAGE_BYTES: u64 = 4096;
 
-/// Held while a process is started and while a port is tried: a process that is just being started
-/// holds every socket of its parent for a moment, and so would keep a tried port taken.
+/// Serializes process starts and port probes: between fork and exec, a new process holds copies of all
+/// sockets of its parent, which would keep a probed port in use.
 pub static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// A process that ends with its owner.
+/// Child process; killed when the value is dropped.
 pub struct Process {
     name: String,
     child: Child,
 }
 
-/// What a process has used so far.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Usage {
-    /// Processor time.
+    /// Processor time since the start.
     pub cpu: Duration,
     /// Resident memory in bytes.
     pub memory: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
-/// Returns the path of a program that was built beside this one, if it was.
+/// Returns the path of a program in the folder of the running one or in one above it, if it is built.
 pub fn find_program(name: &str) -> Option<PathBuf> {
-    let own = env::current_exe().ok()?;
-    let mut folders = own.ancestors().skip(1);
+    let current = env::current_exe().ok()?;
+    let mut folders = current.ancestors().skip(1);
     let folder = folders.find(|folder| folder.join(name).is_file())?;
     Some(folder.join(name))
 }
 
-/// Returns the path of a program that was built beside this one.
+/// Returns the path of a built program.
 ///
 /// # Panics
 ///
-/// If it is not built.
+/// If the program is not built.
 pub fn program_path(name: &str) -> PathBuf {
     find_program(name).unwrap_or_else(|| panic!("{name} is not built; run extra/test.sh"))
 }
 
 impl Process {
-    /// Starts `program_name` with `args`; what it prints goes to a file in `folder`.
+    /// Starts `program_name` with `args`; its output goes to `{name}.log` in `folder`.
     ///
     /// # Panics
     ///
-    /// If it can't be started.
+    /// If the process can't be started.
     pub fn start(folder: &Path, name: &str, program_name: &str, args: &[String]) -> Self {
         let _spawn = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-        let log = File::create(folder.join(format!("{name}.log"))).expect("the folder is there");
-        let errors = log.try_clone().expect("a file can be shared");
+        let log =
+            File::create(folder.join(format!("{name}.log"))).expect("the log file can be created");
+        let errors = log.try_clone().expect("a file handle can be duplicated");
         let child = Command::new(program_path(program_name))
             .args(args)
             .stdin(Stdio::null())
@@ -80,50 +81,50 @@
         Self { name: name.to_owned(), child }
     }
 
-    /// Sends `signal`.
+    /// Sends a signal to the process.
     ///
     /// # Panics
     ///
     /// If the process has ended.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
-        signal::kill(pid, signal).expect("the process is there");
+        signal::kill(pid, signal).expect("the process is running");
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks for a graceful end and returns how it ended.
+    /// Requests a graceful shutdown by SIGTERM and waits for the exit.
     pub async fn stop(&mut self) -> ExitStatus {
         self.signal(Signal::SIGTERM);
         self.wait().await
     }
 
-    /// Waits for its end.
+    /// Waits for the exit of the process.
     pub async fn wait(&mut self) -> ExitStatus {
-        let what = format!("{} ends", self.name);
+        let what = format!("{} exits", self.name);
         let child = &mut self.child;
         eventually(&what, async || child.try_wait().expect("a child can be waited for")).await
     }
 
-    /// Returns what it has used so far.
+    /// Returns the resource usage so far.
     ///
     /// # Panics
     ///
     /// If the process has ended.
     pub fn usage(&self) -> Usage {
         let path = format!("/proc/{}/stat", self.child.id());
-        let stat = fs::read_to_string(path).expect("the process is there");
-        // The name in parentheses may hold anything; fields are counted after it.
+        let stat = fs::read_to_string(path).expect("the process is running");
+        // The name in parentheses may contain spaces and parentheses, so fields are counted after it.
         let fields: Vec<&str> =
             stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let field = |number: usize| fields[number].parse::<u64>().unwrap_or_default();
         Usage {
-            cpu: Duration::from_millis((field(11) + field(12)) * 1000 / TICKS),
-            memory: field(21) * PAGE,
+            cpu: Duration::from_millis((field(11) + field(12)) * 1000 / TICKS_PER_S),
+            memory: field(21) * PAGE_BYTES,
             threads: field(17),
         }
     }
