--- a/reachhead_property/src/lib.rs
+++ b/reachhead_property/src/lib.rs
@@ -1,6 +1,7 @@
-//! Properties from fixed seeds: the library draws a new seed for each run, so its verdict can change.
+//! Runs quickcheck properties from fixed seeds.
 //!
-//! For tests only. A property that should look further is run with another [`SEED_VARIABLE`].
+//! quickcheck itself draws a new seed for each run, so the verdict of a test could change between
+//! runs. For tests only. Set [`SEED_VARIABLE`] to test other values.
 
 use std::{
     env,
@@ -10,26 +11,27 @@
 use quickcheck::{Gen, QuickCheck, Testable};
 use siphasher::sip::SipHasher13;
 
-/// Size of generated values, as the library's own default has it.
-const SIZE: usize = 100;
+/// Size parameter of generated values; the default of quickcheck.
+const VALUE_SIZE: usize = 100;
 
-/// The variable that adds a number to every seed, to look at other values than those of every day.
+/// Environment variable whose number is hashed into every seed, so that other values are tested.
 pub const SEED_VARIABLE: &str = "PROPERTY_SEED";
 
-/// Runs the property `name` on `tests` values from a seed that belongs to the name.
+/// Tests a property on `tests` values, generated from a seed derived from `name`.
 ///
 /// # Panics
 ///
 /// If the property does not hold.
 pub fn check(name: &str, tests: u64, property: impl Testable) {
-    let extra: u64 = env::var(SEED_VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let variation: u64 =
+        env::var(SEED_VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     let mut hasher = SipHasher13::new();
-    (name, extra).hash(&mut hasher);
-    let values = Gen::from_size_and_seed(SIZE, hasher.finish());
-    QuickCheck::new().tests(tests).rng(values).quickcheck(property);
+    (name, variation).hash(&mut hasher);
+    let generator = Gen::from_size_and_seed(VALUE_SIZE, hasher.finish());
+    QuickCheck::new().tests(tests).rng(generator).quickcheck(property);
 }
 
-/// Declares properties as tests, in the words of the library's own macro.
+/// Declares properties as tests, with the syntax of the `quickcheck!` macro.
 #[macro_export]
 macro_rules! properties {
     ($(
--- a/reachhead_standin/src/caller.rs
+++ b/reachhead_standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks that every answer is whole and its own.
+//! Callers that verify every response: successful, complete and belonging to its own request.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,75 +14,85 @@
 use reachhead_types::error::KEY_HEADER;
 use tokio::{net::TcpStream, time};
 
-/// Longest wait for one answer.
-const ANSWER_TIME: Duration = Duration::from_secs(20);
+/// Timeout of one request, connecting included.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Callers that send at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 6;
 
-/// What is sent where.
+/// Requests to send and their targets.
 #[derive(Debug)]
-pub struct Plan {
-    /// Entry hosts, taken in turn.
+pub struct RequestPlan {
+    /// Entry hosts, used round-robin.
     pub entries: Vec<SocketAddr>,
-    /// Paths, taken in turn; one that starts with '!' is posted with an idempotency key.
+    /// Paths, used round-robin; a leading `!` selects POST instead of PUT.
     pub paths: Vec<String>,
-    /// Requests in all.
+    /// Total number of requests.
     pub count: usize,
-    /// Pause of a caller between two requests.
+    /// Delay of a caller before each request.
     pub pause: Duration,
 }
 
-struct Served {
+/// Results of one caller.
+struct CallerSummary {
     count: usize,
-    first_fault: Option<String>,
+    first_error: Option<String>,
 }
 
-/// Sends the plan's requests and tells how many were answered whole.
-pub async fn run(plan: Plan) -> io::Result<()> {
+/// Sends the plan's requests and prints how many were served.
+///
+/// # Errors
+///
+/// If any request failed or received an unexpected response.
+pub async fn run(plan: RequestPlan) -> io::Result<()> {
     let plan = Arc::new(plan);
-    let callers = (0..CALLERS).map(|caller| tokio::spawn(call(Arc::clone(&plan), caller)));
-    let served: Vec<Served> =
+    let callers = (0..CALLERS).map(|caller| tokio::spawn(run_caller(Arc::clone(&plan), caller)));
+    let summaries: Vec<CallerSummary> =
         future::join_all(callers).await.into_iter().filter_map(Result::ok).collect();
-    let count: usize = served.iter().map(|served| served.count).sum();
-    for fault in served.iter().filter_map(|served| served.first_fault.as_ref()) {
-        eprintln!("{fault}");
+    let count: usize = summaries.iter().map(|summary| summary.count).sum();
+    for error in summaries.iter().filter_map(|summary| summary.first_error.as_ref()) {
+        eprintln!("{error}");
     }
     println!("served {count} of {} requests", plan.count);
     match count == plan.count {
         true => Ok(()),
-        false => Err(io::Error::other("not every answer was whole")),
+        false => Err(io::Error::other("some requests failed or received an unexpected response")),
     }
 }
 
-async fn call(plan: Arc<Plan>, caller: usize) -> Served {
-    let mut served = Served { count: 0, first_fault: None };
+async fn run_caller(plan: Arc<RequestPlan>, caller: usize) -> CallerSummary {
+    let mut summary = CallerSummary { count: 0, first_error: None };
     let mut sender = None;
     for number in (caller..plan.count).step_by(CALLERS) {
         time::sleep(plan.pause).await;
         let entry = plan.entries[number % plan.entries.len()];
         let path = &plan.paths[(number / plan.entries.len()) % plan.paths.len()];
-        match time::timeout(ANSWER_TIME, exchange(&mut sender, entry, path, number)).await {
-            Ok(Ok(())) => served.count += 1,
-            Ok(Err(fault)) => {
-                served.first_fault.get_or_insert(format!("{path} by {entry}: {fault}"));
+        match time::timeout(RESPONSE_TIMEOUT, send_and_verify(&mut sender, entry, path, number))
+            .await
+        {
+            Ok(Ok(())) => summary.count += 1,
+            Ok(Err(error)) => {
+                summary.first_error.get_or_insert(format!("{path} via {entry}: {error}"));
             }
             Err(_) => {
-                served.first_fault.get_or_insert(format!("{path} by {entry}: no answer"));
+                summary.first_error.get_or_insert(format!(
+                    "{path} via {entry}: no response within {RESPONSE_TIMEOUT:?}"
+                ));
             }
         }
     }
-    served
+    summary
 }
 
-/// The connection that the next request may use, if it goes to the same entry host.
-struct Kept {
+/// Connection that the next request reuses if it goes to the same entry host.
+struct KeptConnection {
     entry: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
 }
 
-async fn exchange(
-    kept: &mut Option<Kept>,
+/// Sends one request and checks that the response echoes its path and body.
+async fn send_and_verify(
+    kept: &mut Option<KeptConnection>,
     entry: SocketAddr,
     path: &str,
     number: usize,
@@ -106,13 +116,13 @@
     sender.ready().await.map_err(|error| error.to_string())?;
     let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
     let status = response.status();
-    let answer = response.into_body().collect().await.map_err(|error| error.to_string())?;
-    let answer = String::from_utf8_lossy(&answer.to_bytes()).into_owned();
-    // The stand-in answers with the path and the body that it got.
-    if !status.is_success() || !answer.ends_with(&format!("{path} {body}")) {
-        return Err(format!("{status} {answer}"));
+    let received = response.into_body().collect().await.map_err(|error| error.to_string())?;
+    let received = String::from_utf8_lossy(&received.to_bytes()).into_owned();
+    // The stand-in minion ends its response with the path and body of the request.
+    if !status.is_success() || !received.ends_with(&format!("{path} {body}")) {
+        return Err(format!("{status} {received}"));
     }
-    *kept = Some(Kept { entry, sender });
+    *kept = Some(KeptConnection { entry, sender });
     Ok(())
 }
 
--- a/reachhead_standin/src/main.rs
+++ b/reachhead_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform and of minions, for tests and the demo only.
+//! Stand-ins for the platform and for minions, used by tests and the demo only.
 
 mod caller;
 mod minion;
@@ -15,25 +15,25 @@
 use argh::FromArgs;
 use reachhead_ops::{cli, runtime};
 
-use crate::caller::Plan;
+use crate::caller::RequestPlan;
 
-/// Stand-ins of the platform and of minions, for tests and the demo only.
+/// Stand-ins for the platform and for minions, used by tests and the demo only.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    part: Part,
+    part: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Part {
+enum Command {
     Store(StoreArgs),
     Minion(MinionArgs),
     Caller(CallerArgs),
     Ports(PortsArgs),
 }
 
-/// The platform's table service, in memory.
+/// The platform's table service and host API, in memory.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "store")]
 struct StoreArgs {
@@ -42,7 +42,7 @@
     address: SocketAddr,
 }
 
-/// Minions, one for each address.
+/// Minions, one per address.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "minion")]
 struct MinionArgs {
@@ -59,7 +59,7 @@
     slots: usize,
 }
 
-/// Callers that check every answer; the last line tells how many were whole.
+/// Callers that verify every response; the last line is the number of requests served.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "caller")]
 struct CallerArgs {
@@ -67,7 +67,7 @@
     #[argh(option)]
     entry: Vec<SocketAddr>,
 
-    /// path to call, posted with an idempotency key after a '!'; may be given several times
+    /// path to request; sent by POST after a leading '!', by PUT otherwise; may be given several times
     #[argh(option)]
     path: Vec<String>,
 
@@ -84,7 +84,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ports")]
 struct PortsArgs {
-    /// how many
+    /// number of ports
     #[argh(positional)]
     count: usize,
 }
@@ -107,22 +107,22 @@
 fn run(args: Args) -> io::Result<()> {
     runtime::single()?.block_on(async {
         match args.part {
-            Part::Store(args) => store::run(args.address).await,
-            Part::Minion(args) => minion::run(&args.address, args.work, args.slots).await,
-            Part::Caller(CallerArgs { entry, path, count, pause }) => {
+            Command::Store(args) => store::run(args.address).await,
+            Command::Minion(args) => minion::run(&args.address, args.work, args.slots).await,
+            Command::Caller(CallerArgs { entry, path, count, pause }) => {
                 let pause = Duration::from_millis(pause);
-                caller::run(Plan { entries: entry, paths: path, count, pause }).await
+                caller::run(RequestPlan { entries: entry, paths: path, count, pause }).await
             }
-            Part::Ports(args) => print_ports(args.count),
+            Command::Ports(args) => print_ports(args.count),
         }
     })
 }
 
 fn print_ports(count: usize) -> io::Result<()> {
     let bind = |_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-    // All are held until all are known, so that none is given twice.
-    let held = (0..count).map(bind).collect::<io::Result<Vec<_>>>()?;
-    for listener in &held {
+    // All listeners stay open until the end, so that no port is printed twice.
+    let listeners = (0..count).map(bind).collect::<io::Result<Vec<_>>>()?;
+    for listener in &listeners {
         println!("{}", listener.local_addr()?.port());
     }
     Ok(())
--- a/reachhead_standin/src/minion.rs
+++ b/reachhead_standin/src/minion.rs
@@ -1,4 +1,4 @@
-//! A minion that counts what it ran, with faults scripted by the request's own header fields.
+//! Minion that counts its requests, with faults scripted by request headers or through [`FAULT_PATH`].
 
 use std::{
     collections::BTreeMap,
@@ -29,63 +29,63 @@
     time,
 };
 
-/// Request field: milliseconds that this request takes.
-const WORK_FIELD: &str = "standin-work";
+/// Request header: processing time of this request, in milliseconds.
+const WORK_HEADER: &str = "standin-work";
 
-/// Request field: the body is cut off after this many bytes.
-const CUT_FIELD: &str = "standin-cut";
+/// Request header: number of bytes after which the response body is cut off.
+const CUT_HEADER: &str = "standin-cut";
 
-/// Request field: the answer has this many bytes.
-const SIZE_FIELD: &str = "standin-size";
+/// Request header: length of the response body, in bytes.
+const SIZE_HEADER: &str = "standin-size";
 
-/// Request field: the answer has this status.
-const STATUS_FIELD: &str = "standin-status";
+/// Request header: status code of the response.
+const STATUS_HEADER: &str = "standin-status";
 
-/// Request field: the answer is sent in chunks, without a length.
-const CHUNKED_FIELD: &str = "standin-chunked";
+/// Request header: sends the response body chunked, without a content length.
+const CHUNKED_HEADER: &str = "standin-chunked";
 
-/// Path of the counts.
+/// Path that returns the counters.
 const COUNT_PATH: &str = "/standin/count";
 
-/// Path on which the behaviour of all further requests is set.
+/// Path that sets the faults of all further requests.
 const FAULT_PATH: &str = "/standin/fault";
 
 type Body = BoxBody<Bytes, io::Error>;
 
-/// What a minion does wrong with every request; posted to [`FAULT_PATH`].
+/// Faults injected into every request; posted to [`FAULT_PATH`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Milliseconds that each request takes longer.
+    /// Additional processing time, in milliseconds.
     work: u64,
-    /// Every request is refused by contract and not run.
+    /// Requests are refused with [`REFUSED_HEADER`] and do not run.
     refuse: bool,
-    /// Every request is run, then the connection is dropped without an answer.
+    /// Requests run, then the connection is dropped without a response.
     drop: bool,
-    /// Every request is run and answered with 500.
+    /// Requests run and are answered with status 500.
     fail: bool,
-    /// Every answer says that the minion is going away.
+    /// Responses carry `connection: close`, as of a minion that is shutting down.
     leaving: bool,
 }
 
-/// What a minion counted, as [`COUNT_PATH`] gives it.
+/// Counters of a minion, as [`COUNT_PATH`] returns them.
 #[derive(Debug, Default, Clone, Serialize)]
 struct Counts {
     /// Requests that ran.
     ran: u64,
-    /// Requests that were refused by contract.
+    /// Requests refused with [`REFUSED_HEADER`].
     refused: u64,
-    /// Requests that run now.
+    /// Requests running now.
     running: usize,
-    /// Most requests that ran at once.
+    /// Maximum of `running`.
     most_running: usize,
-    /// Connections that are open now.
+    /// Connections open now.
     connections: usize,
-    /// Most connections that were open at once.
+    /// Maximum of `connections`.
     most_connections: usize,
-    /// Runs by idempotency key.
+    /// Requests that ran, by idempotency key.
     by_key: BTreeMap<String, u64>,
-    /// Runs by group of the path's first segment.
+    /// Requests that ran, by the first segment of the path (the group).
     by_path: BTreeMap<String, u64>,
 }
 
@@ -97,7 +97,7 @@
     fault: Mutex<Fault>,
 }
 
-/// Counts a connection as long as it lives.
+/// Guard that counts an open connection.
 struct OpenConnection(Arc<Minion>);
 
 impl OpenConnection {
@@ -116,10 +116,10 @@
     }
 }
 
-/// Counts a request as long as it runs, also when its connection is dropped.
-struct Running<'m>(&'m Minion);
+/// Guard that counts a running request, also when its connection is dropped meanwhile.
+struct RunningRequest<'m>(&'m Minion);
 
-impl Drop for Running<'_> {
+impl Drop for RunningRequest<'_> {
     fn drop(&mut self) {
         self.0.counts().running -= 1;
     }
@@ -134,7 +134,8 @@
         self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn start(&self, key: Option<&str>, path: &str) -> Option<Running<'_>> {
+    /// Admits and counts a request, or returns `None` if it is refused.
+    fn try_start(&self, key: Option<&str>, path: &str) -> Option<RunningRequest<'_>> {
         let refuse = self.fault().refuse;
         let mut counts = self.counts();
         if refuse || counts.running >= self.slots {
@@ -149,37 +150,38 @@
         }
         let segment = path.split('/').nth(1).unwrap_or_default();
         *counts.by_path.entry(segment.to_owned()).or_default() += 1;
-        Some(Running(self))
+        Some(RunningRequest(self))
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> io::Result<Response<Body>> {
+    async fn handle(&self, request: Request<Incoming>) -> io::Result<Response<Body>> {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
         let path = head.uri.path();
         match path {
-            COUNT_PATH => return Ok(whole(http::json(StatusCode::OK, &*self.counts()))),
+            COUNT_PATH => return Ok(boxed(http::json(StatusCode::OK, &*self.counts()))),
             FAULT_PATH => {
                 *self.fault() = serde_json::from_slice(&body)?;
-                return Ok(whole(http::text(StatusCode::OK, "set\n")));
+                return Ok(boxed(http::text(StatusCode::OK, "set\n")));
             }
             _ => {}
         }
         let key = head.headers.get(KEY_HEADER).and_then(|key| key.to_str().ok());
-        let Some(_running) = self.start(key, path) else {
+        let Some(_running) = self.try_start(key, path) else {
             let mut response = http::text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
             response.headers_mut().insert(REFUSED_HEADER, HeaderValue::from_static("1"));
-            return Ok(whole(response));
+            return Ok(boxed(response));
         };
         let fault = self.fault().clone();
-        let work = number(&head.headers, WORK_FIELD).map_or(self.work, Duration::from_millis);
+        let work =
+            numeric_header(&head.headers, WORK_HEADER).map_or(self.work, Duration::from_millis);
         let work = work + Duration::from_millis(fault.work);
         if !work.is_zero() {
             time::sleep(work).await;
         }
         if fault.drop {
-            return Err(io::Error::other("dropped on purpose"));
+            return Err(io::Error::other("connection dropped by an injected fault"));
         }
-        let mut response = self.respond(&head.headers, path, &body);
+        let mut response = self.build_response(&head.headers, path, &body);
         if fault.fail {
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
@@ -190,22 +192,22 @@
         Ok(response)
     }
 
-    fn respond(&self, headers: &HeaderMap, path: &str, body: &Bytes) -> Response<Body> {
-        let text = match number(headers, SIZE_FIELD) {
+    fn build_response(&self, headers: &HeaderMap, path: &str, body: &Bytes) -> Response<Body> {
+        let text = match numeric_header(headers, SIZE_HEADER) {
             Some(size) => (0..size).map(|i| b'a' + (i % 26) as u8).collect(),
             None => format!("{} {path} {}", self.name, String::from_utf8_lossy(body)).into_bytes(),
         };
         let length = text.len();
-        let cut = number(headers, CUT_FIELD).map(|cut| cut as usize);
-        let is_chunked = headers.contains_key(CHUNKED_FIELD);
+        let cut = numeric_header(headers, CUT_HEADER).map(|cut| cut as usize);
+        let is_chunked = headers.contains_key(CHUNKED_HEADER);
         let mut response = match (cut, is_chunked) {
-            (None, false) => Response::new(Full::new(text.into()).map_err(never).boxed()),
-            (cut, _) => Response::new(pieces(text, cut)),
+            (None, false) => Response::new(Full::new(text.into()).map_err(infallible).boxed()),
+            (cut, _) => Response::new(chunked_body(text, cut)),
         };
         if cut.is_some() && !is_chunked {
             response.headers_mut().insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
-        if let Some(status) = number(headers, STATUS_FIELD) {
+        if let Some(status) = numeric_header(headers, STATUS_HEADER) {
             let status = StatusCode::from_u16(status as u16).unwrap_or(StatusCode::OK);
             *response.status_mut() = status;
         }
@@ -213,34 +215,34 @@
     }
 }
 
-/// Returns a body in two pieces that breaks off after `cut` bytes.
-fn pieces(text: Vec<u8>, cut: Option<usize>) -> Body {
-    let whole = Bytes::from(text);
-    let end = cut.unwrap_or(whole.len()).min(whole.len());
+/// Returns a body of two chunks, cut off with an error after `cut` bytes if given.
+fn chunked_body(text: Vec<u8>, cut: Option<usize>) -> Body {
+    let body = Bytes::from(text);
+    let end = cut.unwrap_or(body.len()).min(body.len());
     let half = end / 2;
-    let parts = [whole.slice(..half), whole.slice(half..end)];
+    let parts = [body.slice(..half), body.slice(half..end)];
     let sent = stream::iter(parts).map(|part| Ok(Frame::data(part)));
-    let broken = stream::iter(cut).then(|_| async {
-        // What was written before must have left the process before the connection breaks.
+    let cut_off = stream::iter(cut).then(|_| async {
+        // Gives the bytes written so far time to leave the process before the connection breaks.
         time::sleep(Duration::from_millis(5)).await;
-        Err(io::Error::other("cut off on purpose"))
+        Err(io::Error::other("response cut off by an injected fault"))
     });
-    BodyExt::boxed(StreamBody::new(sent.chain(broken)))
+    BodyExt::boxed(StreamBody::new(sent.chain(cut_off)))
 }
 
-fn whole(response: http::WholeResponse) -> Response<Body> {
-    response.map(|body| body.map_err(never).boxed())
+fn boxed(response: http::WholeResponse) -> Response<Body> {
+    response.map(|body| body.map_err(infallible).boxed())
 }
 
-fn never(error: Infallible) -> io::Error {
+fn infallible(error: Infallible) -> io::Error {
     match error {}
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+fn numeric_header(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Serves a minion on each of `addresses` until a shutdown is asked for.
+/// Serves a minion on each of `addresses` until the process receives a shutdown signal.
 pub async fn run(addresses: &[SocketAddr], work: u64, slots: usize) -> io::Result<()> {
     let (stop, stopped) = watch::channel(false);
     let mut servers = Vec::new();
@@ -262,32 +264,37 @@
 }
 
 async fn serve(listener: TcpListener, minion: Arc<Minion>, mut stopped: watch::Receiver<bool>) {
-    let (alive, all_done) = watch::channel(());
+    let (alive, alive_guard) = watch::channel(());
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = runtime::stopped(&mut stopped) => break,
         };
         if let Ok((stream, _)) = accepted {
-            let open = OpenConnection::new(Arc::clone(&minion));
-            tokio::spawn(connection(stream, open, stopped.clone(), all_done.clone()));
+            let open_connection = OpenConnection::new(Arc::clone(&minion));
+            tokio::spawn(serve_connection(
+                stream,
+                open_connection,
+                stopped.clone(),
+                alive_guard.clone(),
+            ));
         }
     }
-    drop((listener, all_done));
+    drop((listener, alive_guard));
     alive.closed().await;
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
-    open: OpenConnection,
+    open_connection: OpenConnection,
     mut stopped: watch::Receiver<bool>,
-    _alive: watch::Receiver<()>,
+    _alive_guard: watch::Receiver<()>,
 ) {
     let _ = stream.set_nodelay(true);
-    let minion = Arc::clone(&open.0);
+    let minion = Arc::clone(&open_connection.0);
     let service = service_fn(move |request| {
         let minion = Arc::clone(&minion);
-        async move { minion.answer(request).await }
+        async move { minion.handle(request).await }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/reachhead_standin/src/platform.rs
+++ b/reachhead_standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's hosts: drains, reboots, and the host list that tells of them.
+//! Hosts of the platform: drains, reboots, and the host list that reports their state.
 
 use std::{
     collections::BTreeMap,
@@ -16,10 +16,10 @@
 };
 use serde::Deserialize;
 
-/// What a test sets of a host; posted to `/platform`.
+/// Status fields that a test sets for a host; posted to `/platform`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HostKnob {
+pub struct HostUpdate {
     host: HostId,
     #[serde(default)]
     running: Option<u32>,
@@ -27,7 +27,7 @@
     is_up: Option<bool>,
 }
 
-/// Every host that was ever named, and every host list.
+/// In-memory platform: status of every host named so far, and every host list published.
 #[derive(Default)]
 pub struct PlatformStandin {
     hosts: Mutex<BTreeMap<HostId, HostStatus>>,
@@ -43,7 +43,7 @@
         self.lists.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes `list` the newest.
+    /// Publishes `list` as the newest.
     pub fn add_list(&self, list: HostList) {
         self.lists().push(list);
     }
@@ -53,57 +53,69 @@
         self.lists().last().filter(|list| list.revision > after).cloned()
     }
 
-    /// Returns some list, as a stale read may; it knows nothing of what the reader has.
+    /// Returns one of all published lists, as a stale read may, whatever revision the reader has.
+    ///
+    /// `number` selects the list, modulo their count.
     pub fn stale_list(&self, number: usize) -> Option<HostList> {
         let lists = self.lists();
         lists.get(number % lists.len().max(1)).cloned()
     }
 
-    /// Sets what a test wants of a host.
-    pub fn set(&self, knob: HostKnob) {
-        self.change(&knob.host, |status| {
-            status.running = knob.running.unwrap_or(status.running);
-            status.is_up = knob.is_up.unwrap_or(status.is_up);
+    /// Applies a status update from a test.
+    pub fn update_host(&self, update: HostUpdate) {
+        self.change(&update.host, |status| {
+            status.running = update.running.unwrap_or(status.running);
+            status.is_up = update.is_up.unwrap_or(status.is_up);
         });
     }
 
-    /// Returns how each of `hosts` is.
+    /// Returns the status of each of `hosts`, adding unknown ones as up and idle.
     pub fn status(&self, hosts: &[HostId]) -> Vec<HostStatus> {
         let mut known = self.hosts();
-        hosts.iter().map(|host| known.entry(host.clone()).or_insert_with(fresh).clone()).collect()
+        hosts
+            .iter()
+            .map(|host| known.entry(host.clone()).or_insert_with(idle_host).clone())
+            .collect()
     }
 
-    /// Drains a host.
+    /// Starts a drain of a host, identified by the call's tag.
     pub fn drain(&self, call: HostCall) {
         self.change(&call.host, |status| status.drain = Some(call.tag));
     }
 
-    /// Takes a drain back, if it is still the one that is meant.
+    /// Cancels a drain if its tag is still the call's.
     pub fn undrain(&self, call: &HostCall) {
         self.change(&call.host, |status| {
             status.drain = status.drain.take().filter(|tag| *tag != call.tag);
         });
     }
 
-    /// Reboots a host that is under the drain that is meant and was not rebooted yet.
+    /// Reboots a host once.
+    ///
+    /// # Errors
+    ///
+    /// If the host is not under the drain with the call's tag, or its boot count differs from the call's.
     pub fn reboot(&self, call: &RebootCall) -> Result<(), String> {
         let mut result = Ok(());
         self.change(&call.host, |status| {
             if status.drain.as_ref() == Some(&call.tag) && status.boots == call.boots {
                 status.boots += 1;
             } else {
-                result = Err(format!("host {} is not as the call says", call.host));
+                result = Err(format!(
+                    "host {}: drain tag or boot count differs from the call",
+                    call.host
+                ));
             }
         });
         result
     }
 
-    /// Changes a host and adds a list if its state on it is another one.
+    /// Changes the status of a host, and publishes a new list if its entries differ from before.
     fn change(&self, host: &HostId, change: impl FnOnce(&mut HostStatus)) {
         let mut hosts = self.hosts();
-        let before = states(&hosts);
-        change(hosts.entry(host.clone()).or_insert_with(fresh));
-        let after = states(&hosts);
+        let before = host_entries(&hosts);
+        change(hosts.entry(host.clone()).or_insert_with(idle_host));
+        let after = host_entries(&hosts);
         if before == after {
             return;
         }
@@ -113,11 +125,11 @@
     }
 }
 
-fn fresh() -> HostStatus {
+fn idle_host() -> HostStatus {
     HostStatus { is_up: true, drain: None, running: 0, boots: 0 }
 }
 
-fn states(hosts: &BTreeMap<HostId, HostStatus>) -> Vec<HostEntry> {
+fn host_entries(hosts: &BTreeMap<HostId, HostStatus>) -> Vec<HostEntry> {
     let state = |status: &HostStatus| match status.is_drained() || !status.is_up {
         true => HostState::Leaving,
         false => HostState::Live,
--- a/reachhead_standin/src/store.rs
+++ b/reachhead_standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The table service and the platform's hosts over HTTP, with knobs for their faults.
+//! Table service and host API of the platform over HTTP, with injectable faults.
 
 use std::{
     io,
@@ -31,14 +31,14 @@
 
 use crate::platform::PlatformStandin;
 
-/// Largest call, in bytes.
-const BODY_LIMIT: usize = 64 << 20;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Longer than any deadline: an answer that never comes.
-const NEVER: Duration = Duration::from_secs(3600);
+/// Delay longer than any deadline; simulates a response that never arrives.
+const HANG_TIME: Duration = Duration::from_secs(3600);
 
-/// The paths of the platform's own protocol.
-const PATHS: [&str; 8] = [
+/// Paths of the platform's protocol.
+const PLATFORM_PATHS: [&str; 8] = [
     READ_PATH,
     SCAN_PATH,
     COMMIT_PATH,
@@ -49,28 +49,29 @@
     REBOOT_PATH,
 ];
 
-/// What the store does wrong; posted to `/fault`.
+/// Faults injected into calls; posted to `/fault`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Every call is answered with 503 and does nothing.
+    /// Calls are answered with status 503 and have no effect.
     refuse: bool,
-    /// Every call hangs and does nothing.
+    /// Calls hang and have no effect.
     hang: bool,
-    /// Calls of the table service hang; the platform's hosts still answer.
+    /// Table service calls hang; the host API still responds.
     hang_rows: bool,
-    /// Each call takes this many milliseconds longer.
+    /// Additional delay of each call, in milliseconds.
     delay: u64,
-    /// This many transactions take effect and their answer never comes.
+    /// Number of transactions that take effect but whose response never arrives.
     lose: u32,
-    /// Only transactions that write a key with this prefix lose their answer.
+    /// Restricts `lose` to transactions that write a key with this prefix.
     lose_prefix: String,
-    /// Reads of the host list give older lists in turn with the newest.
+    /// Reads of the host list cycle through all lists, old and new.
     stale: bool,
-    /// Hosts are neither drained nor undrained nor rebooted: these calls are answered with 503.
+    /// Drain, undrain and reboot calls are answered with status 503.
     refuse_hosts: bool,
 }
 
+/// Number of calls served, by kind.
 #[derive(Debug, Default)]
 struct Counts {
     reads: AtomicU64,
@@ -79,7 +80,7 @@
     lists: AtomicU64,
 }
 
-/// The counts as `/count` gives them.
+/// Call counts, as `/count` returns them.
 #[derive(Debug, Serialize)]
 struct CountReport {
     reads: u64,
@@ -101,11 +102,11 @@
     }
 
     fn set_fault(&self, body: &[u8]) -> WholeResponse {
-        knob(body, |fault| *self.fault() = fault)
+        set_from_json(body, |fault| *self.fault() = fault)
     }
 
     fn add_list(&self, body: &[u8]) -> WholeResponse {
-        knob(body, |list| self.platform.add_list(list))
+        set_from_json(body, |list| self.platform.add_list(list))
     }
 
     fn hosts(&self, body: &[u8]) -> Result<WholeResponse, String> {
@@ -135,7 +136,7 @@
         Ok(http::json(StatusCode::OK, &self.platform.status(&hosts)))
     }
 
-    fn report(&self) -> CountReport {
+    fn count_report(&self) -> CountReport {
         let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         CountReport {
             reads: load(&self.counts.reads),
@@ -144,11 +145,12 @@
         }
     }
 
-    /// Takes one lost answer off the fault, if there is one.
-    fn take_loss(&self, txn: &Txn) -> bool {
+    /// Returns whether the response to `txn` is lost, and counts it off the injected fault.
+    fn take_lost_response(&self, txn: &Txn) -> bool {
         let mut fault = self.fault();
-        let is_meant = txn.writes.iter().any(|write| write.key.0.starts_with(&fault.lose_prefix));
-        let is_lost = fault.lose > 0 && is_meant;
+        let matches_prefix =
+            txn.writes.iter().any(|write| write.key.0.starts_with(&fault.lose_prefix));
+        let is_lost = fault.lose > 0 && matches_prefix;
         fault.lose -= u32::from(is_lost);
         is_lost
     }
@@ -158,7 +160,7 @@
         time::sleep(Duration::from_millis(fault.delay)).await;
         let is_row_call = [READ_PATH, SCAN_PATH, COMMIT_PATH].contains(&path);
         if fault.hang || (fault.hang_rows && is_row_call) {
-            time::sleep(NEVER).await;
+            time::sleep(HANG_TIME).await;
         }
         if fault.refuse {
             return http::text(StatusCode::SERVICE_UNAVAILABLE, "down\n");
@@ -189,17 +191,17 @@
     async fn commit(&self, body: &[u8]) -> Result<WholeResponse, String> {
         self.counts.commits.fetch_add(1, Ordering::Relaxed);
         let txn: Txn = parse(body)?;
-        let is_lost = self.take_loss(&txn);
+        let is_lost = self.take_lost_response(&txn);
         let commit = self.store.commit(txn).await.map_err(|error| error.to_string())?;
         if is_lost {
-            time::sleep(NEVER).await;
+            time::sleep(HANG_TIME).await;
         }
         Ok(http::json(StatusCode::OK, &commit))
     }
 }
 
-/// Sets what a test posted.
-fn knob<T: for<'de> Deserialize<'de>>(body: &[u8], set: impl FnOnce(T)) -> WholeResponse {
+/// Parses the JSON body posted by a test and passes it to `set`.
+fn set_from_json<T: for<'de> Deserialize<'de>>(body: &[u8], set: impl FnOnce(T)) -> WholeResponse {
     match parse(body) {
         Ok(value) => {
             set(value);
@@ -219,9 +221,9 @@
             match request.path.as_str() {
                 "/fault" => self.set_fault(&request.body),
                 "/hosts" => self.add_list(&request.body),
-                "/count" => http::json(StatusCode::OK, &self.report()),
-                "/platform" => knob(&request.body, |host| self.platform.set(host)),
-                path if PATHS.contains(&path) => self.call(path, &request.body).await,
+                "/count" => http::json(StatusCode::OK, &self.count_report()),
+                "/platform" => set_from_json(&request.body, |host| self.platform.update_host(host)),
+                path if PLATFORM_PATHS.contains(&path) => self.call(path, &request.body).await,
                 _ => http::text(StatusCode::NOT_FOUND, "no such call\n"),
             }
         }
@@ -229,14 +231,14 @@
     }
 }
 
-/// Serves the table service on `address` until a shutdown is asked for.
+/// Serves the table service and host API on `address` until the process receives a shutdown signal.
 pub async fn run(address: SocketAddr) -> io::Result<()> {
     let listener = http::listen(address).await?;
     let (_stop, stopped) = watch::channel(false);
     let standin = Arc::new(StoreStandin::default());
     tokio::select! {
-        // Calls that hang would hold up a graceful end, so the stand-in just ends.
-        () = http::serve(listener, standin, BODY_LIMIT, stopped) => Ok(()),
+        // Hanging calls would block a graceful shutdown, so the stand-in exits at once.
+        () = http::serve(listener, standin, MAX_BODY_BYTES, stopped) => Ok(()),
         signal = runtime::shutdown_signal() => signal,
     }
 }
