--- a/reachhead_bench/src/capacity/hosts.rs
+++ b/reachhead_bench/src/capacity/hosts.rs
@@ -1,4 +1,4 @@
-//! Control processes, the store's calls and the wire over the number of entry hosts.
+//! Cost of control processes, store calls and network traffic as a function of the number of entry hosts.
 
 use std::{fs, time::Duration};
 
@@ -17,17 +17,18 @@
     rows,
 };
 
-/// Entry hosts.
+/// Numbers of entry hosts.
 const HOSTS: [usize; 4] = [3, 10, 30, 100];
 
-/// How long a quiet fleet is measured.
-const REST: Duration = Duration::from_secs(20);
+/// Duration of the measurement of an idle fleet.
+const IDLE_TIME: Duration = Duration::from_secs(20);
 
-/// Changes that are measured, one a second: far more than 13,000 a day.
+/// Number of changes that are measured, one per second: a far higher rate than 13,000 a day.
 const CHANGES: u32 = 10;
 
+/// Resource usage; totals, or rates per second and host (of the whole fleet for store calls).
 #[derive(Default)]
-struct Sample {
+struct ResourceUsage {
     cpu_ms: f64,
     bytes: f64,
     reads: f64,
@@ -37,12 +38,12 @@
 struct Measured {
     hosts: usize,
     memory_mb: f64,
-    rest: Sample,
-    busy: Sample,
-    spread_ms: Vec<f64>,
+    idle: ResourceUsage,
+    changing: ResourceUsage,
+    propagation_ms: Vec<f64>,
 }
 
-/// Measures fleets of control processes at rest and under change.
+/// Measures fleets of control processes, idle and under configuration changes.
 pub async fn run() -> Value {
     let mut all = Vec::new();
     for hosts in HOSTS {
@@ -50,89 +51,99 @@
         all.push(measure(hosts).await);
     }
     let figure = |value: fn(&Measured) -> f64| {
-        let points: Vec<Point> =
-            all.iter().map(|one| Point { size: one.hosts as f64, value: value(one) }).collect();
-        let values: Vec<f64> = points.iter().map(|point| fit::short(point.value)).collect();
-        json!({ "values": values, "line": fit::line(&points) })
+        let points: Vec<Point> = all
+            .iter()
+            .map(|result| Point { size: result.hosts as f64, value: value(result) })
+            .collect();
+        let values: Vec<f64> =
+            points.iter().map(|point| fit::round_significant(point.value)).collect();
+        json!({ "values": values, "line": fit::fit_line(&points) })
     };
     json!({
         "hosts": HOSTS,
-        "control_mb": figure(|one| one.memory_mb),
-        "rest_cpu_percent": figure(|one| one.rest.cpu_ms / 10.0),
-        "busy_cpu_percent": figure(|one| one.busy.cpu_ms / 10.0),
-        "rest_bytes_per_s": figure(|one| one.rest.bytes),
-        "busy_bytes_per_s": figure(|one| one.busy.bytes),
-        "store_reads_per_s": figure(|one| one.rest.reads),
-        "store_writes_per_s": figure(|one| one.rest.commits),
-        "spread_mean_ms": figure(|one| mean(&one.spread_ms)),
-        "spread_most_ms": figure(|one| one.spread_ms.iter().copied().fold(0.0, f64::max)),
+        "control_mb": figure(|result| result.memory_mb),
+        "rest_cpu_percent": figure(|result| result.idle.cpu_ms / 10.0),
+        "busy_cpu_percent": figure(|result| result.changing.cpu_ms / 10.0),
+        "rest_bytes_per_s": figure(|result| result.idle.bytes),
+        "busy_bytes_per_s": figure(|result| result.changing.bytes),
+        "store_reads_per_s": figure(|result| result.idle.reads),
+        "store_writes_per_s": figure(|result| result.idle.commits),
+        "spread_mean_ms": figure(|result| mean(&result.propagation_ms)),
+        "spread_most_ms": figure(|result| result.propagation_ms.iter().copied().fold(0.0, f64::max)),
     })
 }
 
 async fn measure(hosts: usize) -> Measured {
-    let mut cluster = Plan::new(0, 0).with_control(rows::production()).start_bare().await;
+    let mut cluster = Plan::new(0, 0).with_control(rows::default_periods()).start_bare().await;
     cluster.configure().await;
     let controls: Vec<Process> = (0..hosts).map(|_| cluster.add_control()).collect();
-    all_have(&cluster, hosts, 1).await;
-    // Long enough for the periods to have grown to the fleet.
+    wait_for_version(&cluster, hosts, 1).await;
+    // Gives the periods time to grow with the size of the fleet.
     time::sleep(Duration::from_secs(3)).await;
-    let rest = sample(&cluster, &controls, async { time::sleep(REST).await }).await;
-    let mut spread_ms = Vec::new();
-    let busy = sample(&cluster, &controls, async {
+    let idle = measure_usage(&cluster, &controls, async { time::sleep(IDLE_TIME).await }).await;
+    let mut propagation_ms = Vec::new();
+    let changing = measure_usage(&cluster, &controls, async {
         for number in 1..=CHANGES {
             let second = time::sleep(Duration::from_secs(1));
-            spread_ms.push(change(&cluster, hosts, number).await);
+            propagation_ms.push(change(&cluster, hosts, number).await);
             second.await;
         }
     })
     .await;
     let memory: u64 = controls.iter().map(|control| control.usage().memory).sum();
     let memory_mb = memory as f64 / f64::from(1 << 20) / hosts as f64;
-    Measured { hosts, memory_mb, rest, busy, spread_ms }
+    Measured { hosts, memory_mb, idle, changing, propagation_ms }
 }
 
-/// Makes a change and returns the milliseconds until every control has it.
+/// Makes a change and returns the milliseconds until every control process has it.
 async fn change(cluster: &Cluster, hosts: usize, number: u32) -> f64 {
     let row = json!({ "parent": "top", "settings": { "weight": number } });
     let started = BootInstant::now();
     let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
-    all_have(cluster, hosts, version).await;
+    wait_for_version(cluster, hosts, version).await;
     started.elapsed().as_secs_f64() * 1000.0
 }
 
-async fn all_have(cluster: &Cluster, hosts: usize, version: u64) {
+/// Waits until all control processes have `version`.
+async fn wait_for_version(cluster: &Cluster, hosts: usize, version: u64) {
     eventually("every control has the version", async || {
         let reply = cluster.admin_call(Call::get("/v1/status")).await;
         let status: Value = serde_json::from_str(&reply.body).ok()?;
-        let has = |host: &Value| host["control"].as_u64().is_some_and(|have| have >= version);
+        let has =
+            |host: &Value| host["control"].as_u64().is_some_and(|reported| reported >= version);
         let known = status["hosts"].as_array()?;
         (known.len() == hosts && known.iter().all(has)).then_some(())
     })
     .await;
 }
 
-/// Measures what happens for each host and second while `work` goes on.
-async fn sample(cluster: &Cluster, controls: &[Process], work: impl Future<Output = ()>) -> Sample {
-    let before = count(cluster, controls).await;
+/// Measures usage per second and host while `work` runs.
+async fn measure_usage(
+    cluster: &Cluster,
+    controls: &[Process],
+    work: impl Future<Output = ()>,
+) -> ResourceUsage {
+    let before = read_usage(cluster, controls).await;
     let started = BootInstant::now();
     work.await;
     let seconds = started.elapsed().as_secs_f64();
-    let after = count(cluster, controls).await;
+    let after = read_usage(cluster, controls).await;
     let hosts = controls.len() as f64;
-    Sample {
+    ResourceUsage {
         cpu_ms: (after.cpu_ms - before.cpu_ms) / seconds / hosts,
         bytes: (after.bytes - before.bytes) / seconds / hosts,
-        // The store's calls are of the whole fleet.
+        // Store calls are counted for the whole fleet.
         reads: (after.reads - before.reads) / seconds,
         commits: (after.commits - before.commits) / seconds,
     }
 }
 
-async fn count(cluster: &Cluster, controls: &[Process]) -> Sample {
+/// Returns the usage so far.
+async fn read_usage(cluster: &Cluster, controls: &[Process]) -> ResourceUsage {
     let counts = cluster.store_counts().await;
     let number = |name: &str| counts[name].as_f64().unwrap_or_default();
     let cpu: Duration = controls.iter().map(|control| control.usage().cpu).sum();
-    Sample {
+    ResourceUsage {
         cpu_ms: cpu.as_secs_f64() * 1000.0,
         bytes: loopback_bytes(),
         reads: number("reads") + number("scans"),
@@ -140,7 +151,9 @@
     }
 }
 
-/// Returns the bytes that went over loopback, headers included; nothing else should use it now.
+/// Returns the bytes sent over loopback so far, headers included.
+///
+/// The difference of two readings is right only if no other process uses loopback meanwhile.
 pub fn loopback_bytes() -> f64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|line| line.trim().strip_prefix("lo:"));
--- a/reachhead_bench/src/capacity/mod.rs
+++ b/reachhead_bench/src/capacity/mod.rs
@@ -1,4 +1,6 @@
-//! Slopes for docs/CAPACITY.md: each duty at four sizes or more, with a straight line through them.
+//! Growth of resource usage with size, for docs/CAPACITY.md.
+//!
+//! Each cost is measured at four sizes or more, with a line fitted through the results.
 
 mod fit;
 mod hosts;
@@ -10,24 +12,28 @@
 
 use serde_json::{Map, Value};
 
-/// Runs one part, or all.
+/// Runs the measurement named `only`, or all of them.
+///
+/// # Errors
+///
+/// If there is no measurement of that name.
 pub async fn run(only: Option<&str>) -> io::Result<Value> {
     let mut figures = Map::new();
-    let is_asked = |name: &str| only.is_none_or(|only| only == name);
-    if is_asked("shares") {
+    let is_selected = |name: &str| only.is_none_or(|only| only == name);
+    if is_selected("shares") {
         figures.insert("shares".to_owned(), shares::run());
     }
-    if is_asked("rows") {
+    if is_selected("rows") {
         figures.insert("rows".to_owned(), rows::run().await);
     }
-    if is_asked("hosts") {
+    if is_selected("hosts") {
         figures.insert("hosts".to_owned(), hosts::run().await);
     }
-    if is_asked("pools") {
+    if is_selected("pools") {
         figures.insert("pools".to_owned(), pools::run().await);
     }
     match figures.is_empty() {
-        true => Err(io::Error::other("there is no such part")),
+        true => Err(io::Error::other("unknown measurement")),
         false => Ok(Value::Object(figures)),
     }
 }
--- a/reachhead_bench/src/capacity/rows.rs
+++ b/reachhead_bench/src/capacity/rows.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of control and entry over the number of configuration rows.
+//! Memory and CPU time of control and entry processes as a function of the number of configuration rows.
 
 use std::time::{Duration, Instant};
 
@@ -12,27 +12,27 @@
 
 use crate::capacity::fit::{self, Point};
 
-/// Minions in the configuration; each ten are a service with a group and a route.
+/// Numbers of minions in the configuration; every ten are a service with a group and a route.
 const MINIONS: [usize; 5] = [50, 200, 800, 2000, 4500];
 
-/// Changes of which the cost is measured.
+/// Number of changes whose cost is measured.
 const CHANGES: u32 = 10;
 
-/// How long a process settles before it is measured.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Warm-up time of a process before it is measured.
+const WARM_UP: Duration = Duration::from_secs(2);
 
-/// How long processes at rest are measured.
-const REST: Duration = Duration::from_secs(10);
+/// Duration of the measurement of idle processes.
+const IDLE_TIME: Duration = Duration::from_secs(10);
 
 struct Measured {
     rows: usize,
     control: Usage,
     entry: Usage,
-    control_rest: f64,
-    entry_rest: f64,
+    control_idle_percent: f64,
+    entry_idle_percent: f64,
     control_ms: f64,
     entry_ms: f64,
-    spread_ms: f64,
+    in_force_ms: f64,
 }
 
 /// Measures one host with configurations of growing size.
@@ -43,23 +43,24 @@
         all.push(measure(minions).await);
     }
     let points = |value: fn(&Measured) -> f64| -> Vec<Point> {
-        let point = |one: &Measured| Point { size: one.rows as f64, value: value(one) };
+        let point = |result: &Measured| Point { size: result.rows as f64, value: value(result) };
         all.iter().map(point).collect()
     };
     let figure = |value: fn(&Measured) -> f64| {
         let points = points(value);
-        let values: Vec<f64> = points.iter().map(|point| fit::short(point.value)).collect();
-        json!({ "values": values, "line": fit::line(&points) })
+        let values: Vec<f64> =
+            points.iter().map(|point| fit::round_significant(point.value)).collect();
+        json!({ "values": values, "line": fit::fit_line(&points) })
     };
     json!({
-        "rows": all.iter().map(|one| one.rows).collect::<Vec<_>>(),
-        "control_mb": figure(|one| megabytes(&one.control)),
-        "entry_mb": figure(|one| megabytes(&one.entry)),
-        "control_rest_cpu_percent": figure(|one| one.control_rest),
-        "entry_rest_cpu_percent": figure(|one| one.entry_rest),
-        "control_cpu_ms_per_change": figure(|one| one.control_ms),
-        "entry_cpu_ms_per_change": figure(|one| one.entry_ms),
-        "change_in_force_ms": figure(|one| one.spread_ms),
+        "rows": all.iter().map(|result| result.rows).collect::<Vec<_>>(),
+        "control_mb": figure(|result| megabytes(&result.control)),
+        "entry_mb": figure(|result| megabytes(&result.entry)),
+        "control_rest_cpu_percent": figure(|result| result.control_idle_percent),
+        "entry_rest_cpu_percent": figure(|result| result.entry_idle_percent),
+        "control_cpu_ms_per_change": figure(|result| result.control_ms),
+        "entry_cpu_ms_per_change": figure(|result| result.entry_ms),
+        "change_in_force_ms": figure(|result| result.in_force_ms),
         "control_threads": all[0].control.threads,
         "entry_threads": all[0].entry.threads,
     })
@@ -67,19 +68,20 @@
 
 async fn measure(minions: usize) -> Measured {
     let entry = json!({ "link": { "period": 250 } });
-    let plan = Plan::new(0, 0).with_control(production()).with_entry(entry);
+    let plan = Plan::new(0, 0).with_control(default_periods()).with_entry(entry);
     let mut cluster = plan.start_bare().await;
     cluster.configure().await;
     let rows = rows(minions);
-    let count = rows.len() + cluster_rows();
+    let count = rows.len() + harness_row_count();
     let version = cluster.change(rows).await;
     cluster.add_host();
     cluster.in_force(version).await;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(WARM_UP).await;
     let host = &cluster.hosts[0];
-    let (control_rest, entry_rest) = rest(&host.control, &host.entry).await;
+    let (control_idle_percent, entry_idle_percent) =
+        idle_cpu_percent(&host.control, &host.entry).await;
     let (control, entry) = (host.control.usage(), host.entry.usage());
-    let spread_ms = change_repeatedly(&cluster).await;
+    let in_force_ms = change_repeatedly(&cluster).await;
     let per_change = |process: &Process, before: &Usage| {
         (process.usage().cpu - before.cpu).as_secs_f64() * 1000.0 / f64::from(CHANGES)
     };
@@ -89,37 +91,38 @@
         rows: count,
         control: host.control.usage(),
         entry: host.entry.usage(),
-        control_rest,
-        entry_rest,
+        control_idle_percent,
+        entry_idle_percent,
         control_ms,
         entry_ms,
-        spread_ms,
+        in_force_ms,
     }
 }
 
-/// Returns the share of a core, in percent, that each process uses while nothing happens.
-async fn rest(control: &Process, entry: &Process) -> (f64, f64) {
+/// Returns the CPU usage of each idle process, in percent of a core.
+async fn idle_cpu_percent(control: &Process, entry: &Process) -> (f64, f64) {
     let before = (control.usage().cpu, entry.usage().cpu);
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(IDLE_TIME).await;
     let after = (control.usage().cpu, entry.usage().cpu);
-    let percent = |used: Duration| used.as_secs_f64() / REST.as_secs_f64() * 100.0;
+    let percent = |used: Duration| used.as_secs_f64() / IDLE_TIME.as_secs_f64() * 100.0;
     (percent(after.0 - before.0), percent(after.1 - before.1))
 }
 
-/// Makes changes one after the other and returns the mean time until each is in force.
+/// Makes changes one after the other and returns the mean time until one is in force, in milliseconds.
 async fn change_repeatedly(cluster: &Cluster) -> f64 {
     let started = Instant::now();
     for number in 1..=CHANGES {
         let row = json!({ "parent": "top", "settings": { "weight": number } });
         let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
-        entry_has(cluster, version).await;
+        wait_in_force(cluster, version).await;
     }
     started.elapsed().as_secs_f64() * 1000.0 / f64::from(CHANGES)
 }
 
-/// Waits until the entry process has told its control that it has `version`; a look at its state
-/// would cost more than the change.
-async fn entry_has(cluster: &Cluster, version: u64) {
+/// Waits until the entry process has reported `version` to its control process.
+///
+/// Reading the state of the entry process instead would cost more than the change.
+async fn wait_in_force(cluster: &Cluster, version: u64) {
     eventually("the change is in force", async || {
         let reply = cluster.admin_call(Call::get("/v1/status")).await;
         let status: Value = serde_json::from_str(&reply.body).ok()?;
@@ -128,8 +131,8 @@
     .await;
 }
 
-/// The periods that the programs have by default.
-pub fn production() -> Value {
+/// Returns settings with the programs' default periods.
+pub fn default_periods() -> Value {
     json!({
         "follow": { "version": 250, "members": 250 },
         "link": { "gossip": 1000 },
@@ -137,11 +140,13 @@
     })
 }
 
-fn cluster_rows() -> usize {
-    // Three groups, a pool, two services and four routes of the harness.
+/// Returns the number of rows of the harness itself.
+fn harness_row_count() -> usize {
+    // Three groups, a pool, two services and four routes.
     10
 }
 
+/// Returns a configuration with `minions` minions.
 fn rows(minions: usize) -> Vec<(String, Value)> {
     let mut rows = Vec::new();
     for service in 0..minions / 10 {
--- a/reachhead_bench/src/forwarder.rs
+++ b/reachhead_bench/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! The baseline: a forwarder of the same library without any decision.
+//! Baseline of the overhead measurement: a forwarder on the same HTTP library that makes no decisions.
 
 use std::{convert::Infallible, io, net::SocketAddr, rc::Rc};
 
@@ -17,12 +17,12 @@
 
 type Sender = client::SendRequest<Incoming>;
 
-/// Forwards each connection to one of `to`, for as long as the process lives.
-pub async fn run(address: SocketAddr, to: Vec<SocketAddr>) -> io::Result<()> {
+/// Forwards each connection on `address` to the next of `targets`, round-robin, until the process ends.
+pub async fn run(address: SocketAddr, targets: Vec<SocketAddr>) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     LocalSet::new()
         .run_until(async move {
-            for target in to.iter().cycle() {
+            for target in targets.iter().cycle() {
                 let (stream, _) = listener.accept().await?;
                 spawn_local(serve(stream, *target));
             }
@@ -45,10 +45,10 @@
 
 async fn connect(stream: &TcpStream, target: SocketAddr) -> io::Result<Sender> {
     stream.set_nodelay(true)?;
-    let out = TcpStream::connect(target).await?;
-    out.set_nodelay(true)?;
+    let upstream = TcpStream::connect(target).await?;
+    upstream.set_nodelay(true)?;
     let (sender, connection) =
-        client::handshake(TokioIo::new(out)).await.map_err(io::Error::other)?;
+        client::handshake(TokioIo::new(upstream)).await.map_err(io::Error::other)?;
     spawn_local(connection);
     Ok(sender)
 }
@@ -61,7 +61,7 @@
     match sender.send_request(request).await {
         Ok(response) => response.map(BodyExt::boxed),
         Err(_) => {
-            let body = Empty::new().map_err(|never| match never {}).boxed();
+            let body = Empty::new().map_err(|infallible| match infallible {}).boxed();
             let mut response = Response::new(body);
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response
--- a/reachhead_bench/src/load.rs
+++ b/reachhead_bench/src/load.rs
@@ -1,7 +1,7 @@
-//! Load at a fixed rate of arrivals, or as fast as a number of callers can go.
+//! Load generators: an open loop at a fixed arrival rate, a closed loop with a fixed number of callers.
 //!
-//! In an open loop the latency counts from the moment at which the request was due, so a server
-//! that stalls can't hide the requests that it kept from being sent.
+//! The open loop measures latency from the scheduled send time of a request, so that a stalled
+//! server can't hide the requests that it kept from being sent (coordinated omission).
 
 use std::{
     collections::BTreeMap,
@@ -19,80 +19,81 @@
 use serde_json::{Value, json};
 use tokio::{net::TcpStream, task, time};
 
-/// Largest latency that a histogram holds, in microseconds.
-const LARGEST: u64 = 60_000_000;
+/// Maximum latency that a histogram holds, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// How late the runtime's timers may be.
-const TIMER_STEP: Duration = Duration::from_millis(2);
+/// Maximum lateness of the runtime's timers.
+const MAX_TIMER_LATENESS: Duration = Duration::from_millis(2);
 
-/// For how long a caller waits for one answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of one request in the open loop, repeated sends included.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection of a caller.
+/// Sending half of a connection.
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// What is sent.
+/// Requests that a load generator sends.
 #[derive(Debug, Clone)]
-pub struct Stream {
-    /// Where to, taken in turn.
-    pub to: Vec<SocketAddr>,
-    /// Method and path.
+pub struct Workload {
+    /// Target addresses, used round-robin.
+    pub targets: Vec<SocketAddr>,
+    /// HTTP method.
     pub method: &'static str,
-    /// The path.
+    /// Request path.
     pub path: &'static str,
-    /// Whether each request has an idempotency key of its own.
+    /// Whether each request carries its own idempotency key.
     pub is_keyed: bool,
-    /// Milliseconds of work at the minion, drawn evenly from 2 to this; 0 leaves it to the minion.
-    pub most_work: u64,
-    /// Times that a caller sends a request that fails, the first included.
-    pub sends: u64,
+    /// Upper bound of the processing time at the minion in milliseconds, drawn uniformly from 2 upwards;
+    /// 0 uses the minion's own.
+    pub max_work_ms: u64,
+    /// Maximum number of sends of a request that fails, the first included.
+    pub max_sends: u64,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Latencies of good answers in microseconds.
+    /// Latencies of successful responses, in microseconds.
     pub latency: Histogram<u64>,
-    /// Answers by status; 0 is a broken connection.
+    /// Number of responses by status; 0 stands for a broken connection or a timeout.
     pub statuses: BTreeMap<u16, u64>,
-    /// How long the load took.
+    /// Duration of the load.
     pub took: Duration,
 }
 
 impl Outcome {
     fn new() -> Self {
-        let latency = Histogram::new_with_max(LARGEST, 3).expect("the bounds are constants");
+        let latency = Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are constants");
         Self { latency, statuses: BTreeMap::new(), took: Duration::ZERO }
     }
 
-    fn note(&mut self, status: u16, latency: Duration) {
+    fn record(&mut self, status: u16, latency: Duration) {
         *self.statuses.entry(status).or_default() += 1;
         if status == 200 {
             self.latency.saturating_record(latency.as_micros() as u64);
         }
     }
 
-    /// Returns the good answers.
+    /// Returns the number of successful responses.
     pub fn good(&self) -> u64 {
         self.statuses.get(&200).copied().unwrap_or_default()
     }
 
-    /// Returns the good answers that took at most `limit`.
+    /// Returns the number of successful responses with a latency of at most `limit`.
     pub fn good_within(&self, limit: Duration) -> u64 {
         self.latency.count_between(0, limit.as_micros() as u64)
     }
 
-    /// Returns the good answers a second.
+    /// Returns the successful responses per second.
     pub fn goodput(&self) -> f64 {
         self.good() as f64 / self.took.as_secs_f64()
     }
 
-    /// Returns a quantile of the latency in milliseconds.
+    /// Returns a quantile of the latency, in milliseconds.
     pub fn quantile(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Returns the figures as JSON.
+    /// Returns the results as JSON.
     pub fn json(&self) -> Value {
         json!({
             "good_per_s": self.goodput().round(),
@@ -103,11 +104,11 @@
     }
 }
 
-/// Connections that are not in use, by where they go.
+/// Idle connections, by target address.
 #[derive(Default)]
-struct Idle(Mutex<BTreeMap<SocketAddr, Vec<Sender>>>);
+struct IdleConnections(Mutex<BTreeMap<SocketAddr, Vec<Sender>>>);
 
-impl Idle {
+impl IdleConnections {
     async fn take(&self, to: SocketAddr) -> Option<Sender> {
         loop {
             let kept = {
@@ -136,63 +137,64 @@
     Some(sender)
 }
 
-/// Sends at `rate` requests a second for `length`, whatever becomes of them.
-pub async fn open_loop(stream: &Stream, rate: f64, length: Duration) -> Outcome {
-    let idle = Arc::new(Idle::default());
+/// Sends `rate` requests per second for `length`, without waiting for responses in between.
+pub async fn open_loop(workload: &Workload, rate: f64, length: Duration) -> Outcome {
+    let idle = Arc::new(IdleConnections::default());
     let outcome = Arc::new(Mutex::new(Outcome::new()));
     let start = Instant::now();
     let count = (rate * length.as_secs_f64()) as u64;
-    let mut sent = Vec::with_capacity(count as usize);
+    let mut requests = Vec::with_capacity(count as usize);
     for number in 0..count {
         let due = start + Duration::from_secs_f64(number as f64 / rate);
         wait_until(due).await;
-        let (idle, outcome, stream) = (Arc::clone(&idle), Arc::clone(&outcome), stream.clone());
-        sent.push(tokio::spawn(async move {
-            // A caller that waited this long has gone; its connection goes with it.
-            let sending = send(&idle, &stream, number);
-            let status = time::timeout(PATIENCE, sending).await.unwrap_or_default();
+        let (idle, outcome, workload) = (Arc::clone(&idle), Arc::clone(&outcome), workload.clone());
+        requests.push(tokio::spawn(async move {
+            // After the timeout the caller gives up, and its connection is closed.
+            let sending = send(&idle, &workload, number);
+            let status = time::timeout(REQUEST_TIMEOUT, sending).await.unwrap_or_default();
             let mut outcome = outcome.lock().unwrap_or_else(PoisonError::into_inner);
-            outcome.note(status, due.elapsed());
+            outcome.record(status, due.elapsed());
         }));
     }
-    future::join_all(sent).await;
+    future::join_all(requests).await;
     let mut outcome = outcome.lock().unwrap_or_else(PoisonError::into_inner).clone();
     outcome.took = start.elapsed();
     outcome
 }
 
-/// Waits until `due`, to the microsecond: the runtime's timers alone would send a millisecond's
-/// worth of requests at a time.
+/// Waits until `due` with microsecond precision.
+///
+/// With the runtime's timers alone, the requests of each millisecond would be sent at once.
 async fn wait_until(due: Instant) {
-    if let Some(early) = due.checked_sub(TIMER_STEP) {
-        time::sleep_until(early.into()).await;
+    if let Some(sleep_end) = due.checked_sub(MAX_TIMER_LATENESS) {
+        time::sleep_until(sleep_end.into()).await;
     }
     while Instant::now() < due {
         task::yield_now().await;
     }
 }
 
-/// Keeps `callers` busy for `length`.
-pub async fn closed_loop(stream: &Stream, callers: usize, length: Duration) -> Outcome {
-    let idle = Arc::new(Idle::default());
+/// Runs `callers` concurrent callers for `length`; each sends its next request after the last response.
+pub async fn closed_loop(workload: &Workload, callers: usize, length: Duration) -> Outcome {
+    let idle = Arc::new(IdleConnections::default());
     let start = Instant::now();
-    let busy = (0..callers).map(|caller| {
-        let (idle, stream) = (Arc::clone(&idle), stream.clone());
+    let tasks = (0..callers).map(|caller| {
+        let (idle, workload) = (Arc::clone(&idle), workload.clone());
         tokio::spawn(async move {
             let mut outcome = Outcome::new();
             let mut number = caller as u64;
             while start.elapsed() < length {
-                let sent = Instant::now();
-                let status = send(&idle, &stream, number).await;
-                outcome.note(status, sent.elapsed());
+                let sent_at = Instant::now();
+                let status = send(&idle, &workload, number).await;
+                outcome.record(status, sent_at.elapsed());
                 number += callers as u64;
             }
             outcome
         })
     });
     let mut total = Outcome::new();
-    for outcome in future::join_all(busy).await.into_iter().flatten() {
-        total.latency.add(&outcome.latency).expect("the bounds are the same");
+    for outcome in future::join_all(tasks).await.into_iter().flatten() {
+        total.latency.add(&outcome.latency).expect("all histograms have the same bounds");
         for (status, count) in outcome.statuses {
             *total.statuses.entry(status).or_default() += count;
         }
@@ -201,10 +203,11 @@
     total
 }
 
-async fn send(idle: &Idle, stream: &Stream, number: u64) -> u16 {
+/// Sends a request until it succeeds or `max_sends` is reached, and returns the last status.
+async fn send(idle: &IdleConnections, workload: &Workload, number: u64) -> u16 {
     let mut status = 0;
-    for attempt in 0..stream.sends {
-        status = send_once(idle, stream, number + attempt).await;
+    for attempt in 0..workload.max_sends {
+        status = send_once(idle, workload, number + attempt).await;
         if status == 200 {
             break;
         }
@@ -212,12 +215,12 @@
     status
 }
 
-async fn send_once(idle: &Idle, stream: &Stream, number: u64) -> u16 {
-    let to = stream.to[number as usize % stream.to.len()];
+async fn send_once(idle: &IdleConnections, workload: &Workload, number: u64) -> u16 {
+    let to = workload.targets[number as usize % workload.targets.len()];
     let Some(mut sender) = idle.take(to).await else {
         return 0;
     };
-    match exchange(&mut sender, stream, number).await {
+    match exchange(&mut sender, workload, number).await {
         Some(status) => {
             idle.put(to, sender);
             status
@@ -226,16 +229,16 @@
     }
 }
 
-async fn exchange(sender: &mut Sender, stream: &Stream, number: u64) -> Option<u16> {
+async fn exchange(sender: &mut Sender, workload: &Workload, number: u64) -> Option<u16> {
     let mut request =
-        Request::builder().method(stream.method).uri(stream.path).header("host", "bench");
-    if stream.is_keyed {
+        Request::builder().method(workload.method).uri(workload.path).header("host", "bench");
+    if workload.is_keyed {
         request = request.header("idempotency-key", format!("bench-{number}"));
     }
-    if stream.most_work > 0 {
-        // A fixed sequence that looks random: the same work in each run.
-        let draw = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
-        request = request.header("standin-work", 2 + draw % (stream.most_work - 1));
+    if workload.max_work_ms > 0 {
+        // Pseudo-random, but the same sequence in every run.
+        let random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
+        request = request.header("standin-work", 2 + random % (workload.max_work_ms - 1));
     }
     let request = request.body(Full::new(Bytes::new())).ok()?;
     sender.ready().await.ok()?;
--- a/reachhead_bench/src/main.rs
+++ b/reachhead_bench/src/main.rs
@@ -14,19 +14,19 @@
 use reachhead_ops::{cli, runtime};
 use serde_json::Value;
 
-/// Threads that make load; the processes under test get the other cores.
+/// Threads of the load generator; the other cores are left to the processes under test.
 const LOAD_THREADS: usize = 3;
 
 /// Measurements of the system; each ends with one JSON line.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    part: Part,
+    part: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Part {
+enum Command {
     Path(PathArgs),
     Capacity(CapacityArgs),
     Jobs(JobsArgs),
@@ -35,7 +35,7 @@
     Forwarder(ForwarderArgs),
 }
 
-/// The request path on real processes, each figure beside its naive version.
+/// Request path on real processes, each figure compared with a naive version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "path")]
 struct PathArgs {
@@ -44,7 +44,7 @@
     only: Option<String>,
 }
 
-/// Slopes of state, messages, processor time and memory, for docs/CAPACITY.md.
+/// Growth of state, messages, CPU time and memory with fleet size, for docs/CAPACITY.md.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "capacity")]
 struct CapacityArgs {
@@ -53,22 +53,22 @@
     only: Option<String>,
 }
 
-/// The owner of a pool in a burst, in virtual time: the cost of its decisions and jobs in time.
+/// Pool owner under a burst of jobs, in virtual time: CPU cost of its decisions, share of jobs in time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "jobs")]
 struct JobsArgs {}
 
-/// Placement on generated fleets with fixed seeds, beside first fit.
+/// Placement on generated fleets with fixed seeds, compared with first fit.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 struct PlanArgs {}
 
-/// Maintenance rounds on generated fleets with fixed seeds, beside naive ways and lower bounds.
+/// Maintenance waves on generated fleets with fixed seeds, compared with naive schedules and lower bounds.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "waves")]
 struct WavesArgs {}
 
-/// The baseline: a bare forwarder, one connection out per connection in, no decisions.
+/// Baseline: a bare forwarder with one upstream connection per incoming one, without decisions.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "forwarder")]
 struct ForwarderArgs {
@@ -76,7 +76,7 @@
     #[argh(option)]
     address: SocketAddr,
 
-    /// address to forward to; may be given several times, taken in turn
+    /// address to forward to; may be given several times, used round-robin
     #[argh(option)]
     to: Vec<SocketAddr>,
 }
@@ -101,17 +101,18 @@
 
 fn run(args: Args) -> std::io::Result<Option<Value>> {
     match args.part {
-        Part::Forwarder(ForwarderArgs { address, to }) => {
+        Command::Forwarder(ForwarderArgs { address, to }) => {
             runtime::single()?.block_on(forwarder::run(address, to)).map(|()| None)
         }
-        Part::Path(PathArgs { only }) => measure(path::run(only.as_deref())),
-        Part::Capacity(CapacityArgs { only }) => measure(capacity::run(only.as_deref())),
-        Part::Waves(WavesArgs {}) => measure(async { Ok(waves::run()) }),
-        Part::Jobs(JobsArgs {}) => measure(async { Ok(jobs::run()) }),
-        Part::Plan(PlanArgs {}) => measure(async { Ok(plan::run()) }),
+        Command::Path(PathArgs { only }) => measure(path::run(only.as_deref())),
+        Command::Capacity(CapacityArgs { only }) => measure(capacity::run(only.as_deref())),
+        Command::Waves(WavesArgs {}) => measure(async { Ok(waves::run()) }),
+        Command::Jobs(JobsArgs {}) => measure(async { Ok(jobs::run()) }),
+        Command::Plan(PlanArgs {}) => measure(async { Ok(plan::run()) }),
     }
 }
 
+/// Runs a measurement on the load threads.
 fn measure(
     figures: impl Future<Output = std::io::Result<Value>>,
 ) -> std::io::Result<Option<Value>> {
--- a/reachhead_bench/src/path/claims.rs
+++ b/reachhead_bench/src/path/claims.rs
@@ -1,38 +1,38 @@
-//! Store writes and added latency of requests that run at most once.
+//! Store writes and added latency of at-most-once requests, which carry an idempotency key.
 
 use std::time::Duration;
 
 use reachhead_harness::cluster::{Cluster, Plan};
 use serde_json::{Value, json};
 
-use crate::load::{self, Outcome, Stream};
+use crate::load::{self, Outcome, Workload};
 
-/// Requests a second.
+/// Requests per second.
 const RATE: f64 = 500.0;
 
-/// Requests a second of the naive version: one write after the other holds no more than a few.
+/// Requests per second of the naive version; writes one after the other sustain only a low rate.
 const NAIVE_RATE: f64 = 50.0;
 
-/// Length of a run.
+/// Duration of a run.
 const LENGTH: Duration = Duration::from_secs(8);
 
-/// Milliseconds that the store takes for a call.
-const STORE_DELAY: u64 = 5;
+/// Latency of a store call, in milliseconds.
+const STORE_DELAY_MS: u64 = 5;
 
-/// Measures with batches as set by default, and with one transaction for each claim and record.
+/// Compares default batching with one transaction per claim and record.
 pub async fn run() -> Value {
     let unkeyed = measure(Plan::new(1, 4), false, RATE).await;
     let batched = measure(Plan::new(1, 4), true, RATE).await;
     let single = json!({ "claims": { "linger": 0, "batch": 1 }, "store": { "rate": 100_000 } });
     let naive = measure(Plan::new(1, 4).with_entry(single), true, NAIVE_RATE).await;
     let added = |measured: &Measured| {
-        let store = STORE_DELAY as f64;
+        let store = STORE_DELAY_MS as f64;
         (measured.outcome.quantile(0.5) - unkeyed.outcome.quantile(0.5) - store).max(0.0)
     };
     json!({
         "rate_per_s": RATE,
         "one_by_one_rate_per_s": NAIVE_RATE,
-        "store_delay_ms": STORE_DELAY,
+        "store_delay_ms": STORE_DELAY_MS,
         "unkeyed": unkeyed.json(),
         "batched": batched.json(),
         "one_by_one": naive.json(),
@@ -55,22 +55,22 @@
 
 async fn measure(plan: Plan, is_keyed: bool, rate: f64) -> Measured {
     let cluster = plan.start().await;
-    cluster.store_fault(json!({ "delay": STORE_DELAY })).await;
-    let quiet = commits(&cluster).await;
+    cluster.store_fault(json!({ "delay": STORE_DELAY_MS })).await;
+    let idle_start = commits(&cluster).await;
     tokio::time::sleep(LENGTH).await;
-    // What the members' rows cost meanwhile is no part of the requests.
-    let background = commits(&cluster).await - quiet;
+    // Writes of the membership rows are not part of the requests' cost.
+    let background = commits(&cluster).await - idle_start;
     let before = commits(&cluster).await;
     let path = if is_keyed { "/red/pay" } else { "/red/alpha" };
-    let stream = Stream {
-        to: vec![cluster.hosts[0].callers],
+    let workload = Workload {
+        targets: vec![cluster.hosts[0].callers],
         method: "POST",
         path,
         is_keyed,
-        most_work: 0,
-        sends: 1,
+        max_work_ms: 0,
+        max_sends: 1,
     };
-    let outcome = load::open_loop(&stream, rate, LENGTH).await;
+    let outcome = load::open_loop(&workload, rate, LENGTH).await;
     let writes = commits(&cluster).await - before - background;
     let sent: u64 = outcome.statuses.values().sum();
     Measured { outcome, writes: writes / sent as f64 }
--- a/reachhead_bench/src/path/mod.rs
+++ b/reachhead_bench/src/path/mod.rs
@@ -14,7 +14,7 @@
 
 type Measurement = fn() -> Pin<Box<dyn Future<Output = Value>>>;
 
-/// The measurements by name, in the order in which they run.
+/// Measurements by name, in the order in which they run.
 const MEASUREMENTS: [(&str, Measurement); 6] = [
     ("overhead", || Box::pin(overhead::run())),
     ("fairness", || Box::pin(fairness::run())),
@@ -24,15 +24,21 @@
     ("skew", || Box::pin(skew::run())),
 ];
 
-/// The programs that the measurements start.
+/// Programs that the measurements start.
 const PROGRAMS: [&str; 4] =
     ["reachhead-entry", "reachhead-control", "reachhead-admin", "reachhead-standin"];
 
-/// Runs one measurement, or all.
+/// Runs the measurement named `only`, or all of them.
+///
+/// # Errors
+///
+/// If a program is not built, or there is no measurement of that name.
 pub async fn run(only: Option<&str>) -> io::Result<Value> {
     if let Some(missing) = PROGRAMS.iter().find(|name| process::built(name).is_none()) {
         let command = "cargo build --release --workspace --bins";
-        return Err(io::Error::other(format!("{missing} is not built beside this: {command}")));
+        return Err(io::Error::other(format!(
+            "{missing} is missing next to this program; build it with: {command}"
+        )));
     }
     let mut figures = Map::new();
     for (name, measure) in MEASUREMENTS {
@@ -42,7 +48,7 @@
         }
     }
     if figures.is_empty() {
-        return Err(io::Error::other("there is no such measurement"));
+        return Err(io::Error::other("unknown measurement"));
     }
     Ok(Value::Object(figures))
 }
--- a/reachhead_bench/src/path/overhead.rs
+++ b/reachhead_bench/src/path/overhead.rs
@@ -1,4 +1,4 @@
-//! What the entry process costs beside a bare forwarder and beside no forwarder at all.
+//! Overhead of the entry process, compared with a bare forwarder and with direct requests.
 
 use std::{env, net::SocketAddr, time::Duration};
 
@@ -8,29 +8,30 @@
 };
 use serde_json::{Value, json};
 
-use crate::load::{self, Stream};
+use crate::load::{self, Workload};
 
-/// Callers of the capacity runs; as many as the minions have slots.
+/// Callers of the throughput runs; as many as the minions have slots.
 const CALLERS: usize = 32;
 
 /// Minions of the service.
 const MINIONS: usize = 4;
 
-/// Length of a run.
+/// Duration of a run.
 const LENGTH: Duration = Duration::from_secs(4);
 
-/// Runs of each, in turn.
+/// Number of throughput runs of each, alternating.
 const ROUNDS: usize = 5;
 
-/// Arrivals a second that the load generator keeps up with beside the processes under test.
-const LARGEST_RATE: f64 = 8_000.0;
+/// Maximum arrivals per second that the load generator sustains next to the processes under test.
+const MAX_RATE: f64 = 8_000.0;
 
-struct Capacity {
+/// Requests per second and per core-second.
+struct Throughput {
     per_second: f64,
     per_core: f64,
 }
 
-/// Measures throughput per core-second in turn, then latency at half of the entry's capacity.
+/// Measures throughput per core-second, then latency at half of the entry's maximum throughput.
 pub async fn run() -> Value {
     let cluster = Plan::new(1, MINIONS).start().await;
     let minions: Vec<SocketAddr> =
@@ -40,27 +41,28 @@
     let mut entry_runs = Vec::new();
     let mut forwarder_runs = Vec::new();
     for _ in 0..ROUNDS {
-        forwarder_runs.push(capacity(forwarder_address, &forwarder).await);
-        entry_runs.push(capacity(entry.callers, &entry.entry).await);
+        forwarder_runs.push(measure_throughput(forwarder_address, &forwarder).await);
+        entry_runs.push(measure_throughput(entry.callers, &entry.entry).await);
     }
-    let direct = load::closed_loop(&stream(minions.clone()), CALLERS, LENGTH).await;
-    let entry_capacity = median(&entry_runs, |run| run.per_second);
-    let half = (entry_capacity / 2.0).min(LARGEST_RATE);
-    let at_half =
-        |to: Vec<SocketAddr>| async move { load::open_loop(&stream(to), half, LENGTH).await };
+    let direct = load::closed_loop(&workload(minions.clone()), CALLERS, LENGTH).await;
+    let entry_max = median(&entry_runs, |run| run.per_second);
+    let half_rate = (entry_max / 2.0).min(MAX_RATE);
+    let at_half = |targets: Vec<SocketAddr>| async move {
+        load::open_loop(&workload(targets), half_rate, LENGTH).await
+    };
     let direct_half = at_half(minions).await;
     let forwarder_half = at_half(vec![forwarder_address]).await;
     let entry_half = at_half(vec![entry.callers]).await;
-    let entry_core = median(&entry_runs, |run| run.per_core);
-    let forwarder_core = median(&forwarder_runs, |run| run.per_core);
+    let entry_per_core = median(&entry_runs, |run| run.per_core);
+    let forwarder_per_core = median(&forwarder_runs, |run| run.per_core);
     json!({
-        "entry_per_core_s": entry_core.round(),
-        "forwarder_per_core_s": forwarder_core.round(),
-        "entry_to_forwarder": round(entry_core / forwarder_core),
-        "entry_per_s": entry_capacity.round(),
+        "entry_per_core_s": entry_per_core.round(),
+        "forwarder_per_core_s": forwarder_per_core.round(),
+        "entry_to_forwarder": round(entry_per_core / forwarder_per_core),
+        "entry_per_s": entry_max.round(),
         "forwarder_per_s": median(&forwarder_runs, |run| run.per_second).round(),
         "direct_per_s": direct.goodput().round(),
-        "half_load_per_s": half.round(),
+        "half_load_per_s": half_rate.round(),
         "half_load": {
             "direct": direct_half.json(),
             "forwarder": forwarder_half.json(),
@@ -81,15 +83,25 @@
     (process, address)
 }
 
-fn stream(to: Vec<SocketAddr>) -> Stream {
-    Stream { to, method: "GET", path: "/red/alpha/x", is_keyed: false, most_work: 0, sends: 1 }
+fn workload(targets: Vec<SocketAddr>) -> Workload {
+    Workload {
+        targets,
+        method: "GET",
+        path: "/red/alpha/x",
+        is_keyed: false,
+        max_work_ms: 0,
+        max_sends: 1,
+    }
 }
 
-async fn capacity(to: SocketAddr, process: &Process) -> Capacity {
+async fn measure_throughput(to: SocketAddr, process: &Process) -> Throughput {
     let before = process.usage().cpu;
-    let outcome = load::closed_loop(&stream(vec![to]), CALLERS, LENGTH).await;
+    let outcome = load::closed_loop(&workload(vec![to]), CALLERS, LENGTH).await;
     let used = process.usage().cpu - before;
-    Capacity { per_second: outcome.goodput(), per_core: outcome.good() as f64 / used.as_secs_f64() }
+    Throughput {
+        per_second: outcome.goodput(),
+        per_core: outcome.good() as f64 / used.as_secs_f64(),
+    }
 }
 
 fn median<T>(runs: &[T], value: impl Fn(&T) -> f64) -> f64 {
--- a/reachhead_bench/src/path/retries.rs
+++ b/reachhead_bench/src/path/retries.rs
@@ -1,28 +1,28 @@
-//! Sends per request while a third of the minions break every request off.
+//! Sends per request while a third of the minions drop the connection on every request.
 
 use std::{net::SocketAddr, time::Duration};
 
 use reachhead_harness::cluster::{Cluster, Plan};
 use serde_json::{Value, json};
 
-use crate::load::{self, Stream};
+use crate::load::{self, Workload};
 
 /// Minions of the service.
 const MINIONS: usize = 6;
 
-/// Minions that break off.
-const BROKEN: usize = 2;
+/// Minions that drop connections.
+const FAULTY: usize = 2;
 
-/// Requests a second.
+/// Requests per second.
 const RATE: f64 = 400.0;
 
-/// Sends of the naive caller at most.
+/// Maximum sends per request of the naive caller.
 const NAIVE_SENDS: u64 = 3;
 
-/// Length of a run.
+/// Duration of a run.
 const LENGTH: Duration = Duration::from_secs(8);
 
-/// Measures with the retry budget and ejection, and with callers that simply send three times.
+/// Compares the entry with its retry budget and ejection to callers that send up to three times.
 pub async fn run() -> Value {
     let cluster = Plan::new(1, MINIONS).start().await;
     let mut minions = Vec::new();
@@ -30,7 +30,7 @@
         if minion.service == "alpha" {
             minions.push(minion.address);
         }
-        if minion.service == "alpha" && minions.len() <= BROKEN {
+        if minion.service == "alpha" && minions.len() <= FAULTY {
             cluster.minion_fault(index, json!({ "drop": true })).await;
         }
     }
@@ -39,12 +39,18 @@
     json!({ "with_budget": entry, "three_sends": naive })
 }
 
-async fn measure(cluster: &Cluster, to: Vec<SocketAddr>, sends: u64) -> Value {
-    let before = ran(cluster).await;
-    let stream =
-        Stream { to, method: "GET", path: "/red/alpha", is_keyed: false, most_work: 0, sends };
-    let outcome = load::open_loop(&stream, RATE, LENGTH).await;
-    let sent = ran(cluster).await - before;
+async fn measure(cluster: &Cluster, targets: Vec<SocketAddr>, max_sends: u64) -> Value {
+    let before = total_runs(cluster).await;
+    let workload = Workload {
+        targets,
+        method: "GET",
+        path: "/red/alpha",
+        is_keyed: false,
+        max_work_ms: 0,
+        max_sends,
+    };
+    let outcome = load::open_loop(&workload, RATE, LENGTH).await;
+    let sent = total_runs(cluster).await - before;
     let requests: u64 = outcome.statuses.values().sum();
     let amplification = sent / requests as f64;
     json!({
@@ -53,7 +59,8 @@
     })
 }
 
-async fn ran(cluster: &Cluster) -> f64 {
+/// Returns the number of requests that ran on all minions.
+async fn total_runs(cluster: &Cluster) -> f64 {
     let mut total = 0.0;
     for index in 0..cluster.minions.len() {
         total += cluster.minion_counts(index).await["ran"].as_f64().unwrap_or_default();
--- a/reachhead_bench/src/path/skew.rs
+++ b/reachhead_bench/src/path/skew.rs
@@ -1,28 +1,28 @@
-//! Good answers while the balancer sends nearly everything to one entry host of three.
+//! Goodput while the balancer sends most requests to one of three entry hosts.
 
 use std::time::Duration;
 
 use reachhead_harness::cluster::{Cluster, Plan};
 use serde_json::{Value, json};
 
-use crate::load::{self, Outcome, Stream};
+use crate::load::{self, Outcome, Workload};
 
-/// Milliseconds that a request takes at a minion.
-const WORK: u64 = 10;
+/// Processing time of a request at a minion, in milliseconds.
+const WORK_MS: u64 = 10;
 
-/// Minions of the service: 32 slots, of which each host has about a third.
+/// Minions of the service: 32 slots, of which each entry host has about a third.
 const MINIONS: usize = 4;
 
-/// Requests a second: about two thirds of what all slots together can do.
+/// Requests per second: about two thirds of the capacity of all slots.
 const RATE: f64 = 1800.0;
 
-/// Of ten requests, those that go to the first host.
+/// Requests out of ten that go to the first host.
 const SKEW: usize = 8;
 
-/// Length of a run.
+/// Duration of a run.
 const LENGTH: Duration = Duration::from_secs(6);
 
-/// Measures with loans and with the shares alone.
+/// Compares slot loans between hosts with fixed shares.
 pub async fn run() -> Value {
     let shares = json!({ "minions": { "loans": false } });
     let with_loans = measure(plan().start().await).await;
@@ -36,16 +36,22 @@
 }
 
 fn plan() -> Plan {
-    Plan::new(3, MINIONS).with_work(WORK).with_deadline(1000)
+    Plan::new(3, MINIONS).with_work(WORK_MS).with_deadline(1000)
 }
 
 async fn measure(cluster: Cluster) -> Outcome {
-    // Hosts are ready with their first slots; all have theirs after the longest hold.
+    // Hosts become ready with their first slots and have all of them after the longest hold.
     tokio::time::sleep(Duration::from_secs(8)).await;
-    let callers: Vec<_> = cluster.hosts.iter().map(|host| host.callers).collect();
-    let mut to = vec![callers[0]; SKEW];
-    to.extend(&callers[1..]);
-    let stream =
-        Stream { to, method: "GET", path: "/red/alpha", is_keyed: false, most_work: 0, sends: 1 };
-    load::open_loop(&stream, RATE, LENGTH).await
+    let addresses: Vec<_> = cluster.hosts.iter().map(|host| host.callers).collect();
+    let mut targets = vec![addresses[0]; SKEW];
+    targets.extend(&addresses[1..]);
+    let workload = Workload {
+        targets,
+        method: "GET",
+        path: "/red/alpha",
+        is_keyed: false,
+        max_work_ms: 0,
+        max_sends: 1,
+    };
+    load::open_loop(&workload, RATE, LENGTH).await
 }
--- a/reachhead_bench/src/waves.rs
+++ b/reachhead_bench/src/waves.rs
@@ -1,5 +1,5 @@
-//! Maintenance rounds on generated fleets: batches against the bound that budgets set, and tasks that are
-//! displaced more than once.
+//! Maintenance waves on generated fleets: number of batches compared with the lower bound that budgets
+//! set, and number of tasks that are displaced more than once.
 
 use std::{
     cmp::Reverse,
@@ -26,34 +26,35 @@
 /// Services with minions on each host, on average.
 const DENSITY: usize = 3;
 
-/// What the tasks ask of a pool: it must leave room for a batch.
+/// Demand on a pool as a share of its capacity; it must leave free capacity for a batch.
 const DEMAND: f64 = 0.75;
 
-/// Hosts of a pool that are drained at once in the simulation of tasks.
+/// Number of hosts of a pool that are drained at once when displaced tasks are counted.
 const BATCH: usize = 4;
 
-/// Measures every size.
+/// Measures all sizes.
 pub fn run() -> Value {
     let figures = SIZES.iter().map(|size| {
-        let figure = json!({ "roll_out": roll_out(size), "moves": moves(size) });
+        let figure =
+            json!({ "roll_out": measure_batches(size), "moves": measure_displacements(size) });
         (size.name.to_owned(), figure)
     });
     Value::Object(figures.collect())
 }
 
-/// Batches until every host of the fleet has been drained once, each batch as large as the budgets of
-/// services allow, with limits of 1 and 2.
-fn roll_out(size: &Size) -> Value {
+/// Counts the batches until every host of the fleet has been drained once, each as large as the budgets
+/// of the services allow, with limits of 1 and 2.
+fn measure_batches(size: &Size) -> Value {
     let figure = |limit: usize| {
         let mut rng = SmallRng::seed_from_u64(SEED);
         let mut batches = 0;
         let mut bound = 0;
         for number in 0..size.pools {
-            let fleet = services(size.workers / size.pools, number, limit, &mut rng);
+            let fleet = generate_services(size.workers / size.pools, number, limit, &mut rng);
             batches = batches.max(count_batches(&fleet));
             bound = bound.max(lower_bound(&fleet, limit));
         }
-        // Pools are maintained at the same time; one host of the fleet at a time is the naive way.
+        // Pools are maintained in parallel; the naive schedule drains one host of the fleet at a time.
         json!({
             "batches": batches,
             "lower_bound": bound,
@@ -64,15 +65,20 @@
     json!({ "max_unavailable_1": figure(1), "max_unavailable_2": figure(2) })
 }
 
-/// The hosts of a pool with the services that have minions there.
-struct Site {
+/// Hosts of a pool, and the services that have minions on them.
+struct PoolServices {
     hosts: Vec<HostId>,
     services: Vec<ServiceName>,
-    loads: MinionPlacements,
+    placements: MinionPlacements,
     minions: BTreeMap<ServiceName, BTreeSet<HostId>>,
 }
 
-fn services(hosts: usize, number: usize, limit: usize, rng: &mut SmallRng) -> Site {
+fn generate_services(
+    hosts: usize,
+    number: usize,
+    limit: usize,
+    rng: &mut SmallRng,
+) -> PoolServices {
     let host = |index: usize| format!("w{number}-{index:03}");
     let count = (hosts * DENSITY).div_ceil(MINIONS);
     let mut rows =
@@ -93,10 +99,10 @@
     let rows: BTreeMap<RowKey, Value> =
         rows.into_iter().map(|(key, value)| (parse(&key), value)).collect();
     let fleet = Fleet::from_rows(Version(1), &rows).expect("generated rows have no faults");
-    Site {
+    PoolServices {
         hosts: (0..hosts).map(|index| parse(&host(index))).collect(),
         services: minions.keys().cloned().collect(),
-        loads: MinionPlacements::new(&fleet),
+        placements: MinionPlacements::new(&fleet),
         minions,
     }
 }
@@ -105,77 +111,83 @@
     text.parse().expect("generated names are names")
 }
 
-/// Lets hosts set out in the order in which owners of pools do, until all have been through.
-fn count_batches(site: &Site) -> usize {
-    let mut left = site.hosts.clone();
+/// Drains all hosts in the order that pool owners use, and returns the number of batches.
+fn count_batches(pool_services: &PoolServices) -> usize {
+    let mut remaining = pool_services.hosts.clone();
     let mut batches = 0;
-    while !left.is_empty() {
+    while !remaining.is_empty() {
         let empty = |service: &ServiceName| (service.clone(), BudgetRow::default());
-        let mut budgets: Budgets = site.services.iter().map(empty).collect();
-        let undone: BTreeSet<HostId> = left.iter().cloned().collect();
-        left.sort_by_cached_key(|host| Reverse(site.loads.priority(host, &undone)));
-        left.retain(|host| {
-            let is_held = site.loads.drain_blocker(host, &budgets, &BTreeSet::new()).is_some();
-            if !is_held {
-                for service in site.loads.services_on(host) {
+        let mut budgets: Budgets = pool_services.services.iter().map(empty).collect();
+        let due: BTreeSet<HostId> = remaining.iter().cloned().collect();
+        remaining.sort_by_cached_key(|host| Reverse(pool_services.placements.priority(host, &due)));
+        remaining.retain(|host| {
+            let is_blocked =
+                pool_services.placements.drain_blocker(host, &budgets, &BTreeSet::new()).is_some();
+            if !is_blocked {
+                for service in pool_services.placements.services_on(host) {
                     budgets.entry(service.clone()).or_default().held.insert(host.clone());
                 }
             }
-            is_held
+            is_blocked
         });
         batches += 1;
     }
     batches
 }
 
-/// Each service needs as many batches as its minions fill its budget; so does no schedule fewer.
-fn lower_bound(site: &Site, limit: usize) -> usize {
-    site.minions.values().map(|hosts| hosts.len().div_ceil(limit)).max().unwrap_or(1)
+/// Returns the lower bound of batches for any schedule.
+///
+/// Each service needs as many batches as its number of minions divided by its limit, rounded up.
+fn lower_bound(pool_services: &PoolServices, limit: usize) -> usize {
+    pool_services.minions.values().map(|hosts| hosts.len().div_ceil(limit)).max().unwrap_or(1)
 }
 
-/// Tasks that are displaced in a round over every host, for each task that had to move at all.
-fn moves(size: &Size) -> Value {
-    let tree = plan::tree(size.groups);
+/// Measures displacements in a wave over every host, per task that had to move at all.
+fn measure_displacements(size: &Size) -> Value {
+    let tree = plan::generate_tree(size.groups);
     let figure = |knows_wave: bool| {
         let mut rng = SmallRng::seed_from_u64(SEED);
-        let (mut displaced, mut called_back, mut moved) = (0, 0, 0);
+        let (mut displaced, mut stopped, mut moved) = (0, 0, 0);
         for number in 0..size.pools {
-            let mut pool = plan::pool(size, number, DEMAND, &mut rng);
+            let mut pool = plan::generate_pool(size, number, DEMAND, &mut rng);
             plan::settle(&mut pool, &tree);
             let round = maintain(&mut pool, &tree, knows_wave);
             displaced += round.displaced;
-            called_back += round.called_back;
+            stopped += round.stopped;
             moved += round.moved.len();
         }
-        let share = |count: usize| round(count as f64 / moved.max(1) as f64);
-        json!({ "displaced_per_moved": share(displaced + called_back), "called_back": share(called_back) })
+        let per_moved = |count: usize| round(count as f64 / moved.max(1) as f64);
+        json!({ "displaced_per_moved": per_moved(displaced + stopped), "called_back": per_moved(stopped) })
     };
     json!({ "ours": figure(true), "naive": figure(false), "batch": BATCH })
 }
 
+/// Results of a wave over one pool.
 #[derive(Default)]
-struct Maintained {
+struct WaveOutcome {
     displaced: usize,
-    called_back: usize,
+    stopped: usize,
     moved: BTreeSet<TaskId>,
 }
 
-/// Drains the hosts of a pool batch by batch, and lets the planner find other places.
-fn maintain(pool: &mut Pool, tree: &Tree, knows_wave: bool) -> Maintained {
-    let mut done = Maintained::default();
-    let mut left: Vec<HostId> = pool.workers.keys().cloned().collect();
+/// Drains the hosts of a pool batch by batch while the planner places the displaced tasks again.
+///
+/// With `knows_wave`, the planner knows the hosts that are still due, and the emptiest are drained first.
+fn maintain(pool: &mut Pool, tree: &Tree, knows_wave: bool) -> WaveOutcome {
+    let mut outcome = WaveOutcome::default();
+    let mut remaining: Vec<HostId> = pool.workers.keys().cloned().collect();
     for worker in pool.workers.values_mut() {
         worker.is_due = knows_wave;
     }
-    while !left.is_empty() {
+    while !remaining.is_empty() {
         if knows_wave {
-            // What is displaced first is displaced twice, so the emptiest go first.
-            left.sort_by_cached_key(|host| tasks_on(pool, host));
+            // Tasks displaced early may be displaced again, so the emptiest hosts are drained first.
+            remaining.sort_by_cached_key(|host| tasks_on(pool, host));
         }
-        let rest = left.split_off(BATCH.min(left.len()));
-        let batch = std::mem::replace(&mut left, rest);
+        let rest = remaining.split_off(BATCH.min(remaining.len()));
+        let batch = std::mem::replace(&mut remaining, rest);
         for host in &batch {
-            set_open(pool, host, false);
+            set_schedulable(pool, host, false);
         }
         let on_batch = |host: &HostId| batch.contains(host);
         let leaving: Vec<TaskId> = pool
@@ -186,27 +198,27 @@
             .collect();
         for task in leaving {
             pool.tasks.remove(&task);
-            done.displaced += 1;
-            done.moved.insert(task);
+            outcome.displaced += 1;
+            outcome.moved.insert(task);
         }
-        done.called_back += plan::settle(pool, tree).called_back;
+        outcome.stopped += plan::settle(pool, tree).stopped;
         for host in &batch {
-            set_open(pool, host, true);
+            set_schedulable(pool, host, true);
             if let Some(worker) = pool.workers.get_mut(host) {
                 worker.is_due = false;
             }
         }
         plan::settle(pool, tree);
     }
-    done
+    outcome
 }
 
 fn tasks_on(pool: &Pool, host: &HostId) -> usize {
     pool.tasks.values().filter(|placed| placed.worker == *host).count()
 }
 
-fn set_open(pool: &mut Pool, host: &HostId, is_open: bool) {
+fn set_schedulable(pool: &mut Pool, host: &HostId, is_schedulable: bool) {
     if let Some(worker) = pool.workers.get_mut(host) {
-        worker.is_schedulable = is_open;
+        worker.is_schedulable = is_schedulable;
     }
 }
