--- a/reachhead_bench/src/jobs/mod.rs
+++ b/reachhead_bench/src/jobs/mod.rs
@@ -1,13 +1,13 @@
 //! The owner of a pool in a burst, in virtual time: what its decisions cost, and how many jobs are in time.
 
-mod site;
+mod simulation;
 
 use std::time::Duration;
 
 use reachhead_types::size::Millis;
 use serde_json::{Value, json};
 
-use crate::{jobs::site::Site, plan::round};
+use crate::{jobs::simulation::Site, plan::round};
 
 /// Seeds of the emulated days, so that runs can be compared.
 const SEEDS: u64 = 3;
