--- a/reachhead_bench/src/jobs/mod.rs
+++ b/reachhead_bench/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of a pool in a burst, in virtual time: what its decisions cost, and how many jobs are in time.
+//! Pool owner under a burst of jobs, in virtual time: cost of its decisions and share of jobs in time.
 
 mod simulation;
 
@@ -7,84 +7,86 @@
 use reachhead_types::size::Millis;
 use serde_json::{Value, json};
 
-use crate::{jobs::simulation::Site, plan::round};
+use crate::{jobs::simulation::Simulation, plan::round};
 
-/// Seeds of the emulated days, so that runs can be compared.
+/// Number of simulations per scenario; the seeds count up from 0, so that results can be compared.
 const SEEDS: u64 = 3;
 
-/// How long jobs arrive.
-const SPAN: Millis = Millis(10_000);
+/// Period in which jobs arrive.
+const ARRIVAL_PERIOD: Millis = Millis(10_000);
 
-/// How long the pool may go on after that.
-const REST: Millis = Millis(8000);
+/// Time after the last arrival in which jobs may still complete.
+const COMPLETION_TIME: Millis = Millis(8000);
 
-/// A pool and what arrives at it.
+/// Pool and the load on it.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape {
+pub struct Scenario {
+    /// Name in the printed results.
     name: &'static str,
     /// Workers of sixteen cores.
     pub workers: u64,
-    /// Jobs a second.
+    /// Arriving jobs per second.
     pub rate: f64,
-    /// Tasks of a job that work until the end, on workers of their own.
-    pub lasting: u32,
+    /// Long-running tasks, which run until the end on different workers.
+    pub long_running: u32,
 }
 
-/// A pool of a small site, one of a grown site in its burst, one that has more than it holds, and one of a fleet of hundreds
-/// of hosts in its burst.
-const SHAPES: [Shape; 4] = [
-    Shape { name: "small", workers: 20, rate: 25.0, lasting: 5 },
-    Shape { name: "grown", workers: 150, rate: 100.0, lasting: 24 },
-    Shape { name: "over", workers: 80, rate: 100.0, lasting: 24 },
-    Shape { name: "large", workers: 300, rate: 230.0, lasting: 24 },
+/// Measured scenarios: a pool of a small site, of a grown site under a burst, one with more work than
+/// capacity, and one of a fleet of hundreds of hosts under a burst.
+const SCENARIOS: [Scenario; 4] = [
+    Scenario { name: "small", workers: 20, rate: 25.0, long_running: 5 },
+    Scenario { name: "grown", workers: 150, rate: 100.0, long_running: 24 },
+    Scenario { name: "over", workers: 80, rate: 100.0, long_running: 24 },
+    Scenario { name: "large", workers: 300, rate: 230.0, long_running: 24 },
 ];
 
-/// What a day came to.
+/// Results of a simulation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     /// Tasks that were started.
     pub starts: u64,
-    /// Jobs that arrived, but for those that last.
+    /// Jobs that arrived, without the long-running one.
     pub jobs: u64,
-    /// Jobs that were completed inside their objective.
+    /// Jobs that completed within their objective.
     pub in_time: u64,
-    /// Jobs that were completed.
+    /// Jobs that completed.
     pub completed: u64,
-    /// Rounds of the owner.
+    /// Rounds of the pool owner.
     pub rounds: u64,
-    /// Time of the processor in rounds.
-    pub polling: Duration,
-    /// Time of the processor that answers and reports took.
-    pub hearing: Duration,
-    /// Time of the processor that records took.
-    pub recording: Duration,
+    /// Processing time of rounds.
+    pub round_time: Duration,
+    /// Processing time of the workers' responses and reports.
+    pub report_time: Duration,
+    /// Processing time of batches of records.
+    pub record_time: Duration,
 }
 
-/// Measures every shape.
+/// Measures all scenarios.
 pub fn run() -> Value {
-    let figures = SHAPES.iter().map(|shape| (shape.name.to_owned(), figure(shape)));
+    let figures = SCENARIOS.iter().map(|scenario| (scenario.name.to_owned(), measure(scenario)));
     Value::Object(figures.collect())
 }
 
-fn figure(shape: &Shape) -> Value {
-    let days: Vec<Outcome> =
-        (0..SEEDS).map(|seed| Site::new(*shape, seed).run(SPAN, REST)).collect();
-    let sum = |part: fn(&Outcome) -> f64| days.iter().map(part).sum::<f64>();
-    let starts = sum(|day| day.starts as f64);
-    let micros = |part: fn(&Outcome) -> Duration| {
-        let total: f64 = days.iter().map(|day| part(day).as_secs_f64()).sum();
+fn measure(scenario: &Scenario) -> Value {
+    let outcomes: Vec<Outcome> = (0..SEEDS)
+        .map(|seed| Simulation::new(*scenario, seed).run(ARRIVAL_PERIOD, COMPLETION_TIME))
+        .collect();
+    let sum = |value: fn(&Outcome) -> f64| outcomes.iter().map(value).sum::<f64>();
+    let starts = sum(|outcome| outcome.starts as f64);
+    let micros = |value: fn(&Outcome) -> Duration| {
+        let total: f64 = outcomes.iter().map(|outcome| value(outcome).as_secs_f64()).sum();
         round(total * 1e6 / starts)
     };
-    let jobs = sum(|day| day.jobs as f64);
+    let jobs = sum(|outcome| outcome.jobs as f64);
     json!({
-        "starts_a_second": round(starts / SEEDS as f64 / SPAN.duration().as_secs_f64()),
-        "in_time": round(sum(|day| day.in_time as f64) / jobs),
-        "completed": round(sum(|day| day.completed as f64) / jobs),
-        "rounds": round(sum(|day| day.rounds as f64) / SEEDS as f64),
+        "starts_a_second": round(starts / SEEDS as f64 / ARRIVAL_PERIOD.duration().as_secs_f64()),
+        "in_time": round(sum(|outcome| outcome.in_time as f64) / jobs),
+        "completed": round(sum(|outcome| outcome.completed as f64) / jobs),
+        "rounds": round(sum(|outcome| outcome.rounds as f64) / SEEDS as f64),
         "us_a_start": {
-            "rounds": micros(|day| day.polling),
-            "answers": micros(|day| day.hearing),
-            "records": micros(|day| day.recording),
+            "rounds": micros(|outcome| outcome.round_time),
+            "answers": micros(|outcome| outcome.report_time),
+            "records": micros(|outcome| outcome.record_time),
         },
     })
 }
--- a/reachhead_bench/src/jobs/simulation.rs
+++ b/reachhead_bench/src/jobs/simulation.rs
@@ -1,4 +1,4 @@
-//! Workers that do what the owner of their pool says, a store that answers, and callers.
+//! Simulation of one pool in virtual time: its workers, the store and callers that submit jobs.
 
 use std::{collections::BTreeMap, sync::Arc, time::Instant};
 
@@ -18,38 +18,45 @@
     size::{FencingToken, Millis, Revision, RunNumber},
 };
 
-use crate::jobs::{Outcome, Shape};
+use crate::jobs::{Outcome, Scenario};
 
-/// Time between two rounds of the owner, as in its process.
-const ROUND: Millis = Millis(4);
+/// Time between two rounds of the pool owner, as in its process.
+const ROUND_PERIOD: Millis = Millis(4);
 
-/// How long a message travels one way.
-const TRAVEL: Millis = Millis(1);
+/// One-way delay of a message.
+const MESSAGE_DELAY: Millis = Millis(1);
 
-/// How long a transaction takes.
-const TRANSACTION: Millis = Millis(6);
+/// Duration of a store transaction.
+const COMMIT_DELAY: Millis = Millis(6);
 
-/// What a worker has.
-const WORKER: Amount = Amount::new(16_000, 32_768, 0);
+/// Capacity of a worker.
+const WORKER_CAPACITY: Amount = Amount::new(16_000, 32_768, 0);
 
-/// When the day begins, on every clock.
+/// Start of the simulation, on every clock.
 const START: Tick = Tick(1_000_000);
 
-/// Mean time of a task.
-const TASK_TIME: f64 = 800.0;
+/// Mean run time of a task, in milliseconds.
+const MEAN_TASK_MS: f64 = 800.0;
 
 enum Event {
-    Arrive,
-    Started(WorkerId, TaskId, RunNumber),
-    Stopped(WorkerId, TaskId, RunNumber),
-    Held(WorkerId, Tick),
-    Waited(WorkerId, u64),
-    Done(WorkerId, TaskId, RunNumber),
+    /// A job is submitted.
+    JobArrival,
+    /// A worker confirms a start.
+    StartConfirmed(WorkerId, TaskId, RunNumber),
+    /// A worker confirms a stop.
+    StopConfirmed(WorkerId, TaskId, RunNumber),
+    /// A worker reports, in response to the poll sent at the given time.
+    Report(WorkerId, Tick),
+    /// The wait time of a long poll is over; identified by its number.
+    PollExpired(WorkerId, u64),
+    /// A run is done.
+    RunDone(WorkerId, TaskId, RunNumber),
+    /// The store has committed a batch.
     Committed(Batch, Revision),
 }
 
-/// A long poll that waits for an end.
-struct Wait {
+/// Long poll that is answered when a run ends or its wait time is over.
+struct LongPoll {
     number: u64,
     sent: Tick,
 }
@@ -58,22 +65,22 @@
 struct Worker {
     running: BTreeMap<TaskId, RunNumber>,
     ended: Vec<EndedEntry>,
-    count: u64,
-    seen: u64,
-    wait: Option<Wait>,
+    end_count: u64,
+    acknowledged: u64,
+    poll: Option<LongPoll>,
 }
 
-/// A site with one pool.
-pub struct Site {
-    shape: Shape,
+/// Simulated pool.
+pub struct Simulation {
+    scenario: Scenario,
     rng: SmallRng,
     pool: Pool,
     now: Tick,
     workers: BTreeMap<WorkerId, Worker>,
     events: BTreeMap<(Tick, u64), Event>,
     count: u64,
-    recording: Vec<Lane>,
-    due: BTreeMap<JobId, Tick>,
+    committing: Vec<Lane>,
+    deadlines: BTreeMap<JobId, Tick>,
     outcome: Outcome,
 }
 
@@ -110,9 +117,9 @@
     }
 }
 
-impl Site {
-    /// Returns a site at the start of its day.
-    pub fn new(shape: Shape, seed: u64) -> Self {
+impl Simulation {
+    /// Returns a simulation at its start.
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
         let timeouts = PoolTimeouts {
             hold: Millis(4500),
             trust: Millis(4000),
@@ -133,38 +140,39 @@
             START,
             Millis(START.0),
         );
-        let workers = (0..shape.workers).map(|number| (worker_id(number), Worker::default()));
+        let workers = (0..scenario.workers).map(|number| (worker_id(number), Worker::default()));
         Self {
-            shape,
+            scenario,
             rng: SmallRng::seed_from_u64(seed),
             pool,
             now: START,
             workers: workers.collect(),
             events: BTreeMap::new(),
             count: 0,
-            recording: Vec::new(),
-            due: BTreeMap::new(),
+            committing: Vec::new(),
+            deadlines: BTreeMap::new(),
             outcome: Outcome::default(),
         }
     }
 
-    /// Plays the day: jobs arrive for `span`, and have `rest` more to be done.
-    pub fn run(mut self, span: Millis, rest: Millis) -> Outcome {
-        self.list();
-        self.submit_lasting();
-        self.push(Millis(500), Event::Arrive);
-        let (last, end) = (START + Millis(500) + span, START + span + rest);
+    /// Runs the simulation: jobs arrive for `arrival_period` and have `completion_time` more to complete.
+    pub fn run(mut self, arrival_period: Millis, completion_time: Millis) -> Outcome {
+        self.register_workers();
+        self.submit_long_running();
+        self.push(Millis(500), Event::JobArrival);
+        let (last, end) =
+            (START + Millis(500) + arrival_period, START + arrival_period + completion_time);
         while self.now < end {
-            self.now = self.now + ROUND;
+            self.now = self.now + ROUND_PERIOD;
             self.pool.verify(self.now);
-            self.deliver(last);
+            self.handle_due_events(last);
             self.round();
-            self.record();
+            self.commit_batches();
         }
         self.outcome
     }
 
-    fn list(&mut self) {
+    fn register_workers(&mut self) {
         let zone = match "z".parse() {
             Ok(zone) => zone,
             Err(error) => unreachable!("a constant name: {error}"),
@@ -175,7 +183,7 @@
             pool: pool_name(),
             address: std::net::SocketAddr::from(([127, 0, 0, 1], 1)),
             zone: reachhead_types::id::ZoneName::clone(&zone),
-            capacity: WORKER,
+            capacity: WORKER_CAPACITY,
             labels: Vec::new(),
             rack: None,
             draining: false,
@@ -184,14 +192,15 @@
         self.pool.list(infos, self.now);
     }
 
+    /// Schedules an event.
     fn push(&mut self, delay: Millis, event: Event) {
         self.count += 1;
         self.events.insert((self.now + delay, self.count), event);
     }
 
-    fn submit_lasting(&mut self) {
+    fn submit_long_running(&mut self) {
         let step = Step {
-            count: self.shape.lasting,
+            count: self.scenario.long_running,
             need: Amount::new(1300, 3000, 0),
             estimate: Millis(900),
             long_running: true,
@@ -210,79 +219,82 @@
         self.pool.submit(id, &record, row, self.now, Millis(self.now.0));
     }
 
-    /// A job of one to three steps of some tasks each, as on the grown sites.
-    fn arrive(&mut self) {
+    /// Submits a random job of one or two steps with 3 to 13 tasks each, as on grown sites.
+    fn submit_random_job(&mut self) {
         let id = JobId(self.rng.random());
         let steps = self.rng.random_range(1..=2_u32);
-        let step = |place: u32, rng: &mut SmallRng| Step {
+        let step = |index: u32, rng: &mut SmallRng| Step {
             count: rng.random_range(3..=13),
             need: Amount::new(rng.random_range(700..2300), rng.random_range(400..2800), 0),
-            estimate: Millis((TASK_TIME * rng.random_range(0.4..2.5)) as u64),
-            after: (place > 0).then(|| place - 1).into_iter().collect(),
+            estimate: Millis((MEAN_TASK_MS * rng.random_range(0.4..2.5)) as u64),
+            after: (index > 0).then(|| index - 1).into_iter().collect(),
             ..Step::default()
         };
-        let steps: Vec<Step> = (0..steps).map(|place| step(place, &mut self.rng)).collect();
-        let objective = 600.0 + 1.6 * TASK_TIME * steps.len() as f64;
-        self.due.insert(id, self.now + Millis(objective as u64));
+        let steps: Vec<Step> = (0..steps).map(|index| step(index, &mut self.rng)).collect();
+        let objective_ms = 600.0 + 1.6 * MEAN_TASK_MS * steps.len() as f64;
+        self.deadlines.insert(id, self.now + Millis(objective_ms as u64));
         self.outcome.jobs += 1;
         self.submit(id, steps);
     }
 
-    fn deliver(&mut self, last: Tick) {
+    /// Handles all events that are due; no jobs arrive after `last`.
+    fn handle_due_events(&mut self, last: Tick) {
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let event = entry.remove();
-            self.happen(event, last);
+            self.handle_event(event, last);
         }
     }
 
-    fn happen(&mut self, event: Event, last: Tick) {
+    fn handle_event(&mut self, event: Event, last: Tick) {
         let clock = WorkerTime(self.now.0);
         match event {
-            Event::Arrive => {
-                self.arrive();
-                let gap = -self.rng.random::<f64>().max(1e-9).ln() * 1000.0 / self.shape.rate;
+            Event::JobArrival => {
+                self.submit_random_job();
+                let gap = -self.rng.random::<f64>().max(1e-9).ln() * 1000.0 / self.scenario.rate;
                 if self.now < last {
-                    self.push(Millis(gap as u64), Event::Arrive);
+                    self.push(Millis(gap as u64), Event::JobArrival);
                 }
             }
-            Event::Started(id, task, run) => {
-                self.hear(|pool, now| pool.started(&id, task, run, Ok(clock), now));
+            Event::StartConfirmed(id, task, run) => {
+                self.process_message(|pool, now| pool.started(&id, task, run, Ok(clock), now));
             }
-            Event::Stopped(id, task, run) => {
-                self.hear(|pool, now| pool.stopped(&id, task, run, Ok(clock), now));
+            Event::StopConfirmed(id, task, run) => {
+                self.process_message(|pool, now| pool.stopped(&id, task, run, Ok(clock), now));
             }
-            Event::Held(id, sent) => self.report(&id, sent),
-            Event::Waited(id, number) => {
-                let wait = self.workers.get_mut(&id).and_then(|worker| worker.wait.take());
-                match wait {
-                    Some(wait) if wait.number == number => self.report(&id, wait.sent),
+            Event::Report(id, sent) => self.send_report(&id, sent),
+            Event::PollExpired(id, number) => {
+                let poll = self.workers.get_mut(&id).and_then(|worker| worker.poll.take());
+                match poll {
+                    Some(poll) if poll.number == number => self.send_report(&id, poll.sent),
                     other => {
                         if let Some(worker) = self.workers.get_mut(&id) {
-                            worker.wait = other;
+                            worker.poll = other;
                         }
                     }
                 }
             }
-            Event::Done(id, task, run) => self.end(&id, task, run, RunEnd::Done),
+            Event::RunDone(id, task, run) => self.end_run(&id, task, run, RunEnd::Done),
             Event::Committed(batch, revision) => {
-                self.recording.retain(|lane| *lane != batch.lane);
-                let begun = Instant::now();
+                self.committing.retain(|lane| *lane != batch.lane);
+                let timer = Instant::now();
                 self.pool.decided(&batch, &Commit::Done(revision), self.now);
-                self.outcome.recording += begun.elapsed();
+                self.outcome.record_time += timer.elapsed();
             }
         }
     }
 
-    fn hear(&mut self, told: impl FnOnce(&mut Pool, Tick)) {
-        let begun = Instant::now();
-        told(&mut self.pool, self.now);
-        self.outcome.hearing += begun.elapsed();
+    /// Passes a message of a worker to the pool and measures its processing time.
+    fn process_message(&mut self, message: impl FnOnce(&mut Pool, Tick)) {
+        let timer = Instant::now();
+        message(&mut self.pool, self.now);
+        self.outcome.report_time += timer.elapsed();
     }
 
-    fn end(&mut self, id: &WorkerId, task: TaskId, run: RunNumber, end: RunEnd) {
+    /// Ends a run on a worker, and answers the long poll that waits for it.
+    fn end_run(&mut self, id: &WorkerId, task: TaskId, run: RunNumber, end: RunEnd) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -290,15 +302,16 @@
             return;
         }
         worker.running.remove(&task);
-        worker.count += 1;
-        let number = worker.count;
+        worker.end_count += 1;
+        let number = worker.end_count;
         worker.ended.push(EndedEntry { number, task, run, end, checkpoint: None });
-        if let Some(wait) = worker.wait.take() {
-            self.push(TRAVEL, Event::Held(id.clone(), wait.sent));
+        if let Some(poll) = worker.poll.take() {
+            self.push(MESSAGE_DELAY, Event::Report(id.clone(), poll.sent));
         }
     }
 
-    fn report(&mut self, id: &WorkerId, sent: Tick) {
+    /// Sends the report of a worker to the pool.
+    fn send_report(&mut self, id: &WorkerId, sent: Tick) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -315,36 +328,38 @@
             running: running.collect(),
             ended: worker.ended.clone(),
         };
-        self.hear(|pool, now| pool.held(id, sent, Ok(report), now));
+        self.process_message(|pool, now| pool.held(id, sent, Ok(report), now));
     }
 
+    /// Runs a round of the pool owner, and counts the jobs that completed.
     fn round(&mut self) {
-        let begun = Instant::now();
+        let timer = Instant::now();
         let actions = self.pool.poll(self.now, Millis(self.now.0));
-        self.outcome.polling += begun.elapsed();
+        self.outcome.round_time += timer.elapsed();
         self.outcome.rounds += 1;
         self.pool.take_notes();
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
-        let over: Vec<JobId> = self.due.keys().copied().filter(|id| self.is_over(*id)).collect();
-        for id in over {
-            let due = self.due.remove(&id).unwrap_or_default();
+        let completed: Vec<JobId> =
+            self.deadlines.keys().copied().filter(|id| self.is_completed(*id)).collect();
+        for id in completed {
+            let deadline = self.deadlines.remove(&id).unwrap_or_default();
             self.outcome.completed += 1;
-            self.outcome.in_time += u64::from(self.now <= due);
+            self.outcome.in_time += u64::from(self.now <= deadline);
         }
     }
 
-    fn is_over(&self, id: JobId) -> bool {
+    fn is_completed(&self, id: JobId) -> bool {
         self.pool.state(id) == Some(JobState::Over(Ending::Completed))
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Start(target, order) => self.start(target.id, &order),
             Action::Stop(target, task, run) => {
-                self.end(&target.id, task, run, RunEnd::Stopped);
-                self.push(Millis(2 * TRAVEL.0), Event::Stopped(target.id, task, run));
+                self.end_run(&target.id, task, run, RunEnd::Stopped);
+                self.push(Millis(2 * MESSAGE_DELAY.0), Event::StopConfirmed(target.id, task, run));
             }
             Action::Hold(target, order) => self.hold(target.id, &order),
             Action::Pace(..) | Action::Advise(..) | Action::Fenced => {}
@@ -356,42 +371,44 @@
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.running.insert(order.task, order.run);
         }
-        let time = TASK_TIME * self.rng.random_range(0.5..1.5);
+        let time = MEAN_TASK_MS * self.rng.random_range(0.5..1.5);
         if order.task.job != JobId(1) {
-            let done = Event::Done(id.clone(), order.task, order.run);
-            self.push(Millis(TRAVEL.0 + time as u64), done);
+            let done = Event::RunDone(id.clone(), order.task, order.run);
+            self.push(Millis(MESSAGE_DELAY.0 + time as u64), done);
         }
-        self.push(Millis(2 * TRAVEL.0), Event::Started(id, order.task, order.run));
+        self.push(Millis(2 * MESSAGE_DELAY.0), Event::StartConfirmed(id, order.task, order.run));
     }
 
+    /// Answers a poll at once if runs have ended or it must not wait; waits otherwise.
     fn hold(&mut self, id: WorkerId, order: &HoldOrder) {
         let (sent, number) = (self.now, self.count);
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
-        worker.seen = worker.seen.max(order.acknowledged);
-        let seen = worker.seen;
-        worker.ended.retain(|entry| entry.number > seen);
+        worker.acknowledged = worker.acknowledged.max(order.acknowledged);
+        let acknowledged = worker.acknowledged;
+        worker.ended.retain(|entry| entry.number > acknowledged);
         if order.wait.0 == 0 || !worker.ended.is_empty() {
-            self.push(Millis(2 * TRAVEL.0), Event::Held(id, sent));
+            self.push(Millis(2 * MESSAGE_DELAY.0), Event::Report(id, sent));
             return;
         }
-        worker.wait = Some(Wait { number, sent });
-        self.push(order.wait, Event::Waited(id, number));
+        worker.poll = Some(LongPoll { number, sent });
+        self.push(order.wait, Event::PollExpired(id, number));
     }
 
-    fn record(&mut self) {
+    /// Starts a transaction for each lane that is due and has none under way.
+    fn commit_batches(&mut self) {
         for Due { lane, .. } in self.pool.due() {
-            if self.recording.contains(&lane) {
+            if self.committing.contains(&lane) {
                 continue;
             }
-            let begun = Instant::now();
+            let timer = Instant::now();
             let batch = self.pool.batch(lane, Millis(self.now.0));
-            self.outcome.recording += begun.elapsed();
+            self.outcome.record_time += timer.elapsed();
             if let Some(batch) = batch {
-                self.recording.push(lane);
+                self.committing.push(lane);
                 let revision = Revision(1_000_000 + self.count);
-                self.push(TRANSACTION, Event::Committed(batch, revision));
+                self.push(COMMIT_DELAY, Event::Committed(batch, revision));
             }
         }
     }
