--- a/reachhead_control/src/main.rs
+++ b/reachhead_control/src/main.rs
@@ -1,13 +1,13 @@
-//! Follows the configuration and the entry hosts' membership and feeds both to its host.
+//! Control process of an entry host: follows configuration and membership and feeds both to the entry process.
 
-mod answer;
-mod clean;
-mod follow;
-mod gossip;
-mod members;
+mod claim_cleaner;
+mod follower;
+mod gossiper;
+mod member_table;
 mod metrics;
-mod pools;
+mod pool_reconciler;
 mod process;
+mod responder;
 mod timeouts;
 mod view;
 
@@ -16,5 +16,5 @@
 use reachhead_ops::cli;
 
 fn main() -> ExitCode {
-    cli::daemon("control", process::run)
+    cli::run_daemon("control", process::run)
 }
--- a/reachhead_entry/src/process/metrics.rs
+++ b/reachhead_entry/src/process/metrics.rs
@@ -1,11 +1,11 @@
-//! Counters of the entry process.
+//! Metrics of the entry process.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
     metrics::{counter::Counter, family::Family, histogram::Histogram},
     registry::Registry,
 };
-use reachhead_ops::latency::{Latencies, latencies};
+use reachhead_ops::latency::{LatencyHistograms, latency_histograms};
 use reachhead_types::{error::ErrorKind, id::RouteName};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -18,33 +18,33 @@
     kind: &'static str,
 }
 
-/// All counters.
+/// The metrics of the process.
 #[derive(Clone)]
 pub struct Metrics {
     ran: Family<RouteLabels, Counter>,
-    latency: Latencies<RouteLabels>,
+    latency: LatencyHistograms<RouteLabels>,
     errors: Family<ErrorLabels, Counter>,
     /// Requests sent to minions, retries included.
     pub sends: Counter,
-    /// Answers replayed for a key.
+    /// Responses replayed for an idempotency key.
     pub replays: Counter,
 }
 
-/// The counters of one route, looked up once a version.
+/// The metrics of one route, looked up once per configuration version.
 #[derive(Clone)]
 pub struct RouteMetrics {
     /// Requests that a minion answered.
     pub ran: Counter,
-    /// Seconds from the head's arrival to the answer's head.
+    /// Seconds from the request head to the response head.
     pub latency: Histogram,
 }
 
 impl Metrics {
-    /// Returns the counters, registered in `registry`.
+    /// Returns the metrics, registered in `registry`.
     pub fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
             ran: Family::default(),
-            latency: latencies(),
+            latency: latency_histograms(),
             errors: Family::default(),
             sends: Counter::default(),
             replays: Counter::default(),
@@ -77,7 +77,7 @@
         metrics
     }
 
-    /// Returns the counters of the route `name`.
+    /// Returns the metrics of the route `name`.
     pub fn route(&self, name: &RouteName) -> RouteMetrics {
         let labels = RouteLabels { route: name.to_string() };
         RouteMetrics {
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Counts an answer that the system made itself.
-    pub fn error(&self, kind: ErrorKind) {
+    /// Counts an error response of this system.
+    pub fn count_error(&self, kind: ErrorKind) {
         self.errors.get_or_create(&ErrorLabels { kind: kind.as_str() }).inc();
     }
 }
--- a/reachhead_types/src/lib.rs
+++ b/reachhead_types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Domain types that every program shares: ids, sizes, the fleet's rows and the error kinds.
+//! Domain types shared by all programs: ids, quantities, configuration and store rows, errors.
 
 pub mod answer;
 pub mod boot_instant;
