--- a/extra/demo.sh
+++ b/extra/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts three entry hosts, a stand-in of the platform and six minions as processes on loopback,
-# configures two services through the command line, shows a change that reaches every host, sends 1,200
+# Starts three entry hosts, a stand-in for the platform and six minions as processes on loopback,
+# configures two services through the command line, shows that a change reaches every host, sends 1,200
 # requests through all entry hosts while a maintenance wave reboots every host of the minions, shows
-# state, and stops everything gracefully.
+# state, and stops everything gracefully. Runs platform-demo.sh at the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -13,7 +13,7 @@
 pids=()
 
 stop_all() {
-    # The latest first, so that no entry host loses its control or the store before it is done.
+    # In reverse order of start, so that no entry host loses its control process or the store before it has stopped.
     for ((i = ${#pids[@]} - 1; i >= 0; i--)); do
         kill -TERM "${pids[$i]}" 2>/dev/null || true
         wait "${pids[$i]}" 2>/dev/null || true
@@ -37,26 +37,26 @@
         fi
         sleep 0.2
     done
-    echo "the process at $1 is not ready" >&2
+    echo "the process at $1 did not become ready" >&2
     tail -n 5 "$work"/*.log >&2
     exit 1
 }
 
 mapfile -t ports < <("$bin/reachhead-standin" ports 32)
-next=0
-take() { # variable
-    printf -v "$1" '127.0.0.1:%s' "${ports[$next]}"
-    next=$((next + 1))
+next_port=0
+assign_address() { # variable
+    printf -v "$1" '127.0.0.1:%s' "${ports[$next_port]}"
+    next_port=$((next_port + 1))
 }
 
-take store
+assign_address store
 start store "$bin/reachhead-standin" store --address "$store"
 
 zones=(ahmedabad surat vadodara)
 minions=()
 for service in check-in desk; do
     for zone in "${zones[@]}"; do
-        take address
+        assign_address address
         minions+=("\"$service/$zone-1\": { \"address\": \"$address\", \"zone\": \"$zone\", \"host\": \"$zone-a\" }")
         start "minion-$service-$zone" "$bin/reachhead-standin" minion --address "$address" --work 2
     done
@@ -70,13 +70,13 @@
 entries=()
 entry_ops=()
 for i in 0 1 2; do
-    take control_link
-    take control_ops
-    take entry_link
-    take entry_ops_address
-    take callers
-    take admin
-    take admin_ops
+    assign_address control_link
+    assign_address control_ops
+    assign_address entry_link
+    assign_address entry_ops_address
+    assign_address callers
+    assign_address admin
+    assign_address admin_ops
     host="\"host\": \"entry-$((i + 1))\", \"zone\": \"${zones[$i]}\""
     common="$host, \"store\": { \"address\": \"$store\" }"
     cat >"$work/control-$i.jsonc" <<JSON
@@ -149,20 +149,20 @@
 "$bin/reachhead-standin" caller "${entries[@]}" --count 1200 --pause 80 \
     --path /chain-a/check-in/gate-1 --path /chain-a/desk --path '!/chain-b/renewal' \
     >"$work/served" 2>&1 &
-load=$!
-pids+=("$load")
+load_pid=$!
+pids+=("$load_pid")
 "$bin/reachhead" wave start round-1 --pool front --wait 40
-wait "$load" || { cat "$work/served" >&2; exit 1; }
+wait "$load_pid" || { cat "$work/served" >&2; exit 1; }
 unset 'pids[-1]'
 cat "$work/served"
 
-echo "== the state of the first entry host, in part"
+echo "== the first lines of the state of the first entry host"
 "$bin/reachhead" dump "${entry_ops[0]}" | head -n 20
 
 echo "== stopping everything gracefully"
 for ((i = ${#pids[@]} - 1; i >= 0; i--)); do
     kill -TERM "${pids[$i]}"
-    wait "${pids[$i]}" || { echo "process ${pids[$i]} did not end well" >&2; exit 1; }
+    wait "${pids[$i]}" || { echo "process ${pids[$i]} exited with an error" >&2; exit 1; }
 done
 pids=()
 tail -n 1 "$work/served"
--- a/extra/install.sh
+++ b/extra/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build needs beside Rust: a C compiler and cmake, for the bundled nng.
+# Installs the build dependencies besides Rust: a C compiler, make and cmake, for the bundled nng.
 set -euo pipefail
 
 missing=()
--- a/extra/platform-demo.sh
+++ b/extra/platform-demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts a stand-in of the users' platform and three processes of reachhead-node on loopback, hands in
-# jobs, cancels one, has every host of a pool maintained meanwhile, and stops everything gracefully.
+# Starts a stand-in for the users' platform and three reachhead-node processes on loopback, submits jobs,
+# cancels one, runs maintenance on every host of a pool meanwhile, and stops everything gracefully.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -26,7 +26,7 @@
 site=$!
 for number in 1 2 3; do
     until [ -s "$work/node-$number.toml" ]; do
-        kill -0 "$site" # ends the demo if the stand-in has ended
+        kill -0 "$site" # fails, and so ends the demo, if the stand-in has exited
         sleep 0.1
     done
     REACHHEAD_CONFIG=$work/node-$number.toml "$bin/reachhead-node" >"$work/node-$number.log" 2>&1 &
--- a/extra/test.sh
+++ b/extra/test.sh
@@ -6,7 +6,7 @@
 extra/install.sh
 cargo build --locked --workspace --bins
 
-# Tests that are known to fail, one a line with its cause: they are printed and passed over, and mended first next time.
+# Known failures, one per line with the cause: they are printed and skipped, and are to be fixed first.
 skips=()
 if [ -f KNOWN-RED.txt ]; then
     cat KNOWN-RED.txt
