--- a/reachhead_bench/src/plan.rs
+++ b/reachhead_bench/src/plan.rs
@@ -240,7 +240,7 @@
     pool
 }
 
-/// Returns the utilization of the pools and the share of their fair shares that groups have.
+/// Returns the utilization of the pools, and how much of their fair shares the groups have.
 fn measure_quality(pools: &[Pool], tree: &Tree) -> Value {
     let mut utilization = 0.0;
     let mut fulfilled: Vec<f64> = Vec::new();
--- a/reachhead_bench/src/waves.rs
+++ b/reachhead_bench/src/waves.rs
@@ -23,8 +23,8 @@
 /// Minions of a service.
 const MINIONS: usize = 10;
 
-/// Services with minions on each host, on average.
-const DENSITY: usize = 3;
+/// Average number of services that have minions on a host.
+const SERVICES_PER_HOST: usize = 3;
 
 /// Demand on a pool as a share of its capacity; it must leave free capacity for a batch.
 const DEMAND: f64 = 0.75;
@@ -80,7 +80,7 @@
     rng: &mut SmallRng,
 ) -> PoolServices {
     let host = |index: usize| format!("w{number}-{index:03}");
-    let count = (hosts * DENSITY).div_ceil(MINIONS);
+    let count = (hosts * SERVICES_PER_HOST).div_ceil(MINIONS);
     let mut rows =
         vec![("group/top".to_owned(), json!({})), ("pool/p".to_owned(), json!({ "group": "top" }))];
     let mut minions: BTreeMap<ServiceName, BTreeSet<HostId>> = BTreeMap::new();
