--- a/reachhead_admin/src/api/change.rs
+++ b/reachhead_admin/src/api/change.rs
@@ -66,7 +66,7 @@
         };
         let log = match history::find(&*self.store, version).await {
             Ok(Some(log)) => log,
-            Ok(None) => return api::problem(StatusCode::NOT_FOUND, "no such version"),
+            Ok(None) => return api::problem(StatusCode::NOT_FOUND, "there is no such version"),
             Err(error) => return api::store_problem(&error),
         };
         let Some(fleet) = api::parse_fleet(&snapshot) else {
--- a/reachhead_admin/src/api/hosts.rs
+++ b/reachhead_admin/src/api/hosts.rs
@@ -88,7 +88,7 @@
             }
             (&Method::POST, [host, "want"]) => self.move_host(host, body, access).await,
             (&Method::DELETE, [host]) => self.remove_host(host, access).await,
-            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such endpoint")),
+            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such call")),
         };
         result.unwrap_or_else(|error| error_response(&error))
     }
@@ -101,7 +101,7 @@
         let named = api::query_parameter(query, "pool").map(str::parse::<PoolName>);
         let mut found = match named {
             Some(Ok(pool)) => hosts::in_pool(&*self.store, &pool).await?,
-            Some(Err(_)) => return Ok(api::problem(StatusCode::BAD_REQUEST, "invalid pool name")),
+            Some(Err(_)) => return Ok(api::problem(StatusCode::BAD_REQUEST, "not a pool's name")),
             None => hosts::all(&*self.store).await?,
         };
         found.retain(|host| access.covers_pool(&host.row.pool));
--- a/reachhead_admin/src/api/mod.rs
+++ b/reachhead_admin/src/api/mod.rs
@@ -104,11 +104,11 @@
             Ok(snapshot) => snapshot,
             // The root token can be checked without the store, so its holder learns what is down.
             Err(error) if self.auth.is_root(&request.headers) => return store_problem(&error),
-            Err(_) => return problem(StatusCode::UNAUTHORIZED, "can't verify token: store down"),
+            Err(_) => return problem(StatusCode::UNAUTHORIZED, "the token can't be checked now"),
         };
         match self.auth.authenticate(&request.headers, &snapshot) {
             Some(caller) => self.route(request, caller, snapshot).await,
-            None => problem(StatusCode::UNAUTHORIZED, "missing or invalid bearer token"),
+            None => problem(StatusCode::UNAUTHORIZED, "a bearer token is needed"),
         }
     }
 
@@ -142,10 +142,10 @@
                     page if method == Method::GET => {
                         self.route_reads(page, &request.query, &access).await
                     }
-                    _ => problem(StatusCode::NOT_FOUND, "no such endpoint"),
+                    _ => problem(StatusCode::NOT_FOUND, "no such call"),
                 }
             }
-            _ => problem(StatusCode::NOT_FOUND, "no such endpoint"),
+            _ => problem(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 }
@@ -162,7 +162,7 @@
 }
 
 fn invalid_configuration() -> BufferedResponse {
-    problem(StatusCode::INTERNAL_SERVER_ERROR, "the configuration in force is invalid")
+    problem(StatusCode::INTERNAL_SERVER_ERROR, "the rows in force have faults")
 }
 
 fn problem(status: StatusCode, error: &str) -> BufferedResponse {
--- a/reachhead_admin/src/api/read.rs
+++ b/reachhead_admin/src/api/read.rs
@@ -66,7 +66,7 @@
 
 fn effective(group: &str, access: &Access) -> BufferedResponse {
     let Ok(group) = group.parse::<GroupName>() else {
-        return api::problem(StatusCode::BAD_REQUEST, "invalid group name");
+        return api::problem(StatusCode::BAD_REQUEST, "not a group's name");
     };
     if !access.covers(&Owner::Group(group.clone())) {
         return api::forbidden();
@@ -76,7 +76,7 @@
             StatusCode::OK,
             &EffectiveReport { settings: &node.effective, origins: &node.origins },
         ),
-        None => api::problem(StatusCode::NOT_FOUND, "no such group"),
+        None => api::problem(StatusCode::NOT_FOUND, "there is no such group"),
     }
 }
 
@@ -95,7 +95,7 @@
             ["diff"] => self.diff(query, access).await,
             ["pools"] => self.pools(access).await,
             ["status"] => self.status(access.fleet.version).await,
-            _ => api::problem(StatusCode::NOT_FOUND, "no such endpoint"),
+            _ => api::problem(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
@@ -115,7 +115,7 @@
 
     async fn history(&self, query: &str, access: &Access) -> BufferedResponse {
         let Some(Ok(key)) = api::query_parameter(query, "key").map(str::parse::<RowKey>) else {
-            return api::problem(StatusCode::BAD_REQUEST, "the parameter key must be a row key");
+            return api::problem(StatusCode::BAD_REQUEST, "key must name a row");
         };
         let after = api::version_query_parameter(query, "after", Version(0));
         match history::row_history(&*self.store, &key, after).await {
--- a/reachhead_admin/src/api/waves.rs
+++ b/reachhead_admin/src/api/waves.rs
@@ -78,11 +78,11 @@
             (&Method::GET, []) => self.show_waves(None, access).await,
             (&Method::GET, [name]) => match name.parse::<WaveName>() {
                 Ok(name) => self.show_waves(Some(&name), access).await,
-                Err(_) => Ok(api::problem(StatusCode::BAD_REQUEST, "invalid wave name")),
+                Err(_) => Ok(api::problem(StatusCode::BAD_REQUEST, "not a wave's name")),
             },
             (&Method::POST, []) => self.start_wave(body, access).await,
             (&Method::POST, [name, "state"]) => self.set_wave_state(name, body, access).await,
-            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such endpoint")),
+            _ => Ok(api::problem(StatusCode::NOT_FOUND, "no such call")),
         };
         result.unwrap_or_else(|error| error_response(&error))
     }
@@ -118,10 +118,7 @@
         let (Ok(name), Ok(StateRequest { state })) =
             (name.parse::<WaveName>(), serde_json::from_slice(body))
         else {
-            return Ok(api::problem(
-                StatusCode::BAD_REQUEST,
-                "expected a valid wave name and state",
-            ));
+            return Ok(api::problem(StatusCode::BAD_REQUEST, "a wave's name and state are needed"));
         };
         let mut is_found = false;
         for pool in access.pools() {
@@ -133,7 +130,7 @@
         }
         match is_found {
             true => self.show_waves(Some(&name), access).await,
-            false => Ok(api::problem(StatusCode::NOT_FOUND, "no such wave")),
+            false => Ok(api::problem(StatusCode::NOT_FOUND, "there is no such wave")),
         }
     }
 
--- a/reachhead_control/src/process.rs
+++ b/reachhead_control/src/process.rs
@@ -40,7 +40,7 @@
         }
         let is_expired =
             self.view.list_age().is_none_or(|age| age > self.view.propagation_timeout());
-        is_expired.then(|| "partitioned from the store and from all peers".to_owned())
+        is_expired.then(|| "cut off from the store and from all peers".to_owned())
     }
 
     fn state(&self) -> BoxFuture<'_, Value> {
--- a/reachhead_ops/src/http.rs
+++ b/reachhead_ops/src/http.rs
@@ -163,10 +163,10 @@
     let body = match time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return text(StatusCode::PAYLOAD_TOO_LARGE, "request body too large\n");
+            return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
         }
         Ok(Err(error)) => return text(StatusCode::BAD_REQUEST, &format!("{error}\n")),
-        Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "request body timed out\n"),
+        Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body did not arrive in time\n"),
     };
     let request = BufferedRequest {
         method: head.method,
