--- a/reachhead/tests/system/waves.rs
+++ b/reachhead/tests/system/waves.rs
@@ -14,7 +14,7 @@
 use crate::load::Load;
 
 /// Starts a cluster with a minion of each service on each of `workers` hosts, the last of which is in a
-/// pool of its own; at most `limit` minions of a service may be unavailable by plan.
+/// pool of its own; at most `limit` minions of a service may be unavailable.
 async fn start_with_workers(hosts: usize, workers: usize, limit: u64) -> Cluster {
     let cluster = ClusterConfig::new(hosts, workers).with_work(5).start().await;
     let service = |group: &str| json!({ "group": group, "pool": "main", "max_unavailable": limit });
--- a/reachhead_admin/src/api/waves.rs
+++ b/reachhead_admin/src/api/waves.rs
@@ -54,7 +54,7 @@
     host: HostId,
     phase: HostPhase,
     is_done: bool,
-    /// What blocks its next step; `None` if nothing does.
+    /// The reason why its next step is blocked; `None` if it is not.
     hold: Option<String>,
 }
 
@@ -189,7 +189,7 @@
 }
 
 impl HoldContext {
-    /// Returns what blocks the next step of `host` in `wave`.
+    /// Returns the reason why the next step of `host` in `wave` is blocked, if it is.
     fn blocker(&self, host: &Host, wave: &WaveRow, status: Option<&HostStatus>) -> Option<String> {
         let Some(status) = status else {
             return Some("the platform does not know the host".to_owned());
--- a/reachhead_config/src/control.rs
+++ b/reachhead_config/src/control.rs
@@ -21,7 +21,8 @@
         advertise: Option<SocketAddr> = None;
         /// Address on which the entry process of this host answers other entry hosts.
         entry: SocketAddr;
-        /// Addresses of control processes of other entry hosts, to join through while the store is down.
+        /// Addresses of control processes of other entry hosts, for gossip while no members are known,
+        /// as after a start while the store is down.
         seeds: Vec<SocketAddr> = Vec::new();
         /// Milliseconds between two gossip rounds.
         gossip: NonZeroU64 = nonzero_millis(1000);
@@ -64,7 +65,7 @@
         hand_over: Millis = Millis(10_000);
         /// Missed heartbeats of the owner after which another entry host takes over a pool.
         missed: NonZeroU32 = nonzero(2);
-        /// Milliseconds that a disruption budget must be observed exceeded before a drain is cancelled.
+        /// Milliseconds that an availability budget must be observed exceeded before a drain is cancelled.
         confirm: Millis = Millis(5000);
         /// Maximum number of hosts of a pool that a maintenance wave processes at once, even if the budgets allow more.
         batch: NonZeroU32 = nonzero(8);
--- a/reachhead_control/src/follower.rs
+++ b/reachhead_control/src/follower.rs
@@ -39,7 +39,7 @@
 enum PeriodicTask {
     /// Writing this host's heartbeat.
     Heartbeat,
-    /// Reading the membership rows of the entry hosts.
+    /// Reading the member rows of the entry hosts.
     Members,
     /// Reading the configuration.
     Config,
@@ -47,14 +47,14 @@
     Hosts,
 }
 
-/// This host's membership row.
+/// This host's member row.
 struct OwnRow {
     member: Member,
     /// Revision of the row; `None` while the host is not a member.
     revision: Option<Revision>,
 }
 
-/// Polls the store for one host and keeps its membership row alive.
+/// Polls the store for one host and keeps its member row alive.
 pub struct Follower {
     view: Arc<View>,
     store: Arc<dyn Store>,
@@ -64,7 +64,7 @@
 }
 
 impl Follower {
-    /// Returns a follower that keeps the membership row of `own` alive.
+    /// Returns a follower that keeps the member row of `own` alive.
     pub fn new(
         view: Arc<View>,
         store: Arc<dyn Store>,
@@ -227,7 +227,7 @@
         own.revision = found;
     }
 
-    /// Deletes this host's membership row, unless a newer incarnation has overwritten it.
+    /// Deletes this host's member row, unless a newer incarnation has overwritten it.
     async fn leave(&self) {
         let (key, revision) = {
             let own = self.own_row();
@@ -235,7 +235,7 @@
         };
         let txn = Txn::new().with_check(key.clone(), revision).with_delete(key);
         if let Err(error) = self.store.commit(txn).await {
-            debug!("deleting the membership row failed: {error}");
+            debug!("deleting the member row failed: {error}");
         }
     }
 }
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -47,7 +47,7 @@
     snapshot: ConfigSnapshot,
     members: MemberTable,
     leaving: LeavingHosts,
-    /// This host's incarnation, once it has written its membership row.
+    /// This host's incarnation, once it has written its member row.
     own_incarnation: Option<Incarnation>,
     entry_version: Version,
     /// When the store last answered a call of this host.
--- a/reachhead_link/src/message.rs
+++ b/reachhead_link/src/message.rs
@@ -10,7 +10,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// An identifier of a list of entry hosts, used to compare lists without sending them.
+/// An identifier of a membership list, used to compare lists without sending them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStamp {
     /// The store's revision when the list was read.
@@ -45,7 +45,7 @@
         have: Version,
         /// The changes that the peer received since its last round, if any.
         delta: Option<Delta>,
-        /// The peer's list of entry hosts.
+        /// The stamp of the peer's membership list.
         list: ListStamp,
         /// The revision of the peer's copy of the platform's host list.
         hosts: Revision,
@@ -71,14 +71,14 @@
 pub struct GossipReply {
     /// Configuration changes after the peer's version.
     pub delta: Option<Delta>,
-    /// The list of entry hosts, if it is newer than the peer's.
+    /// The membership list, if it is newer than the peer's.
     pub list: Option<MemberList>,
     /// The leaving hosts, if they are of a newer host list than the peer's.
     pub leaving: Option<LeavingHosts>,
     /// Whether the store did not answer the last call of the replying process.
     #[serde(rename = "is_blind")]
     pub is_cut_off: bool,
-    /// Maximum age of the replying process's list of entry hosts; `None` if it never confirmed one.
+    /// Maximum age of the replying process's membership list; `None` if it never confirmed one.
     pub age: Option<Millis>,
 }
 
--- a/reachhead_plan/src/failures.rs
+++ b/reachhead_plan/src/failures.rs
@@ -14,7 +14,7 @@
 pub const FAILING_MIN_WORKERS: usize = 3;
 
 /// Failures that are kept per worker and per job.
-const MAX_FAILURES: usize = 32;
+const MAX_KEPT_FAILURES: usize = 32;
 
 /// The failures of each worker and each job since its last success.
 #[derive(Debug, Clone, Default)]
@@ -74,7 +74,7 @@
 }
 
 fn push_bounded<T: Clone>(failures: &mut VecDeque<T>, failure: &T) {
-    if failures.len() == MAX_FAILURES {
+    if failures.len() == MAX_KEPT_FAILURES {
         failures.pop_front();
     }
     failures.push_back(failure.clone());
--- a/reachhead_pool/src/budget.rs
+++ b/reachhead_pool/src/budget.rs
@@ -17,7 +17,7 @@
     pool::BudgetRow,
 };
 
-/// The disruption budget of a service and the hosts of its minions.
+/// The availability budget of a service and the hosts of its minions.
 #[derive(Debug, Clone, Default)]
 struct ServicePlacement {
     /// Minions that may be unavailable at once.
--- a/reachhead_pool/src/controller/leases.rs
+++ b/reachhead_pool/src/controller/leases.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns whether another host has owned the pool for longer than the hand-over timeout
+    /// Returns whether another host has owned the pool for longer than the handover timeout
     /// although this host is preferred.
     fn is_overdue(&mut self, pool: &PoolName) -> bool {
         let since = self.awaited_since.entry(pool.clone()).or_insert_with(BootInstant::now);
--- a/reachhead_pool/src/host.rs
+++ b/reachhead_pool/src/host.rs
@@ -1,4 +1,4 @@
-//! The state machine of a host in maintenance or between pools: drain, reboot or hand-over, return
+//! The state machine of a host in maintenance or between pools: drain, reboot or handover, return
 //! to service.
 //!
 //! A step depends only on stored rows and on the status that the platform reports, so a new owner
--- a/reachhead_pool/src/lease.rs
+++ b/reachhead_pool/src/lease.rs
@@ -29,7 +29,7 @@
 pub enum LeaseStep {
     /// Keep the lease, which this host holds.
     Keep,
-    /// Acquire the lease, which is free, expired or overdue for a hand-over.
+    /// Acquire the lease, which is free, expired or overdue for a handover.
     Acquire,
     /// Release the lease, since another live host is preferred.
     Release,
--- a/reachhead_store/src/config/change.rs
+++ b/reachhead_store/src/config/change.rs
@@ -28,8 +28,8 @@
 /// Attempts of a change that loses races against other changes or whose answers are lost.
 const MAX_ATTEMPTS: u32 = 12;
 
-/// Upper bound of the random pause before the second attempt; it doubles with each attempt.
-const MIN_BACKOFF_MS: u64 = 10;
+/// Upper bound of the random pause after the first attempt; it doubles with each attempt.
+const INITIAL_BACKOFF_MS: u64 = 10;
 
 /// Upper bound of the random pause between two attempts.
 const MAX_BACKOFF_MS: u64 = 500;
@@ -73,7 +73,7 @@
         request: &ChangeRequest,
     ) -> Result<Version, ChangeError> {
         let mut lost = None;
-        let mut pause = MIN_BACKOFF_MS;
+        let mut pause = INITIAL_BACKOFF_MS;
         for _ in 0..MAX_ATTEMPTS {
             match self.attempt(snapshot, request).await {
                 Ok(Some(version)) => return Ok(version),
--- a/reachhead_types/src/error.rs
+++ b/reachhead_types/src/error.rs
@@ -133,7 +133,7 @@
     Overloaded "overloaded" 503 NotRun Some(1);
     /// The deadline passed, or would have passed, before a minion was free.
     DeadlineInQueue "deadline-in-queue" 503 NotRun Some(1);
-    /// The service has no minion that takes requests.
+    /// The service has no minion on which this entry host may run requests.
     NoMinion "no-minion" 503 NotRun Some(5);
     /// No connection to a minion could be made.
     ConnectFailed "connect-failed" 502 NotRun Some(1);
