--- a/reachhead_path/src/eject.rs
+++ b/reachhead_path/src/eject.rs
@@ -5,7 +5,7 @@
 use reachhead_types::boot_instant::BootInstant;
 
 /// Consecutive failures after which a minion is ejected.
-pub const FAILURE_LIMIT: u32 = 3;
+pub const MAX_FAILURES: u32 = 3;
 
 /// Duration of the first ejection; it doubles with each consecutive one.
 pub const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
@@ -55,7 +55,7 @@
     pub fn record_failure(&mut self, now: BootInstant) -> EjectionChange {
         self.failures = self.failures.saturating_add(1);
         // After an ejection the minion is on probation: a single failure ejects it again.
-        let should_eject = self.failures >= FAILURE_LIMIT || self.ejections > 0;
+        let should_eject = self.failures >= MAX_FAILURES || self.ejections > 0;
         if !should_eject || self.is_ejected(now) {
             return EjectionChange::Unchanged;
         }
--- a/reachhead_path/tests/choice.rs
+++ b/reachhead_path/tests/choice.rs
@@ -7,7 +7,7 @@
 use quickcheck::{Arbitrary, Gen};
 use rand::{SeedableRng, rngs::SmallRng};
 use reachhead_path::{
-    eject::{Ejection, EjectionChange, FAILURE_LIMIT, MAX_EJECTION_TIME, MIN_EJECTION_TIME},
+    eject::{Ejection, EjectionChange, MAX_EJECTION_TIME, MAX_FAILURES, MIN_EJECTION_TIME},
     pick::{Candidate, choose},
     retry::{MAX_RETRY_TOKENS, RETRIES_PER_SUCCESS, RetryBudget},
 };
@@ -70,7 +70,7 @@
 fn consecutive_ejections_double_in_duration_until_a_success() {
     let mut now = BootInstant::now();
     let mut ejection = Ejection::new();
-    for _ in 1..FAILURE_LIMIT {
+    for _ in 1..MAX_FAILURES {
         assert_eq!(ejection.record_failure(now), EjectionChange::Unchanged);
     }
     assert_eq!(ejection.record_failure(now), EjectionChange::Ejected);
