--- a/reachhead/src/command/check.rs
+++ b/reachhead/src/command/check.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// Returns the value inside a default's Rust expression: `500` of `Millis(500)`, "none" of `Vec::new()`.
+/// Returns the value inside a default's Rust expression: `500` of `Millis(500)`, "none" of
+/// `Vec::new()`.
 fn strip_type(default: &str) -> &str {
     let inner = default.rsplit_once('(').and_then(|(_, rest)| rest.split_once(')'));
     inner.map_or(default, |(value, _)| if value.is_empty() { "none" } else { value })
--- a/reachhead/src/command/mod.rs
+++ b/reachhead/src/command/mod.rs
@@ -71,7 +71,8 @@
     version: Version,
 }
 
-/// Submits `writes` as one atomic change and returns its version; a missing `id` is drawn at random.
+/// Submits `writes` as one atomic change and returns its version; a missing `id` is drawn at
+/// random.
 async fn submit_change(
     client: &Client,
     id: Option<ChangeId>,
--- a/reachhead/src/command/wave.rs
+++ b/reachhead/src/command/wave.rs
@@ -100,7 +100,8 @@
     print_waves(&waves, json)
 }
 
-/// Prints the hosts of waves; first prints their progress for up to `wait` seconds, until all are done.
+/// Prints the hosts of waves; first prints their progress for up to `wait` seconds, until all are
+/// done.
 async fn wait_and_show(
     client: &Client,
     name: &WaveName,
--- a/reachhead/src/print.rs
+++ b/reachhead/src/print.rs
@@ -9,7 +9,8 @@
 
 use crate::command::CommandError;
 
-/// Prints a line; ends the program with status 0 if the reader closed the pipe, as `reachhead … | head` does.
+/// Prints a line; ends the program with status 0 if the reader closed the pipe, for example in
+/// `reachhead … | head`.
 pub fn line(text: &str) {
     if writeln!(io::stdout(), "{text}").is_err() {
         process::exit(0);
--- a/reachhead/tests/system/claims.rs
+++ b/reachhead/tests/system/claims.rs
@@ -1,5 +1,5 @@
-//! At-most-once execution of keyed requests across entry hosts, under killed or paused hosts and store
-//! faults.
+//! At-most-once execution of keyed requests across entry hosts, under killed or paused hosts and
+//! store faults.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
     tokio::spawn(async move { call(address, &request).await })
 }
 
-/// Returns settings without loans, so that a claimed request is queued at a full host instead of running
-/// on a borrowed slot.
+/// Returns settings without loans, so that a claimed request is queued at a full host instead of
+/// running on a borrowed slot.
 fn without_loans() -> Value {
     json!({ "minions": { "loans": false } })
 }
@@ -143,8 +143,8 @@
     })
     .await;
     cluster.hosts[0].entry.signal(Signal::SIGSTOP);
-    // Longer than the request deadline, the owner query timeout, the store deadline and the time after which
-    // overdue connections are closed, all together.
+    // Longer than the request deadline, the owner query timeout, the store deadline and the time
+    // after which overdue connections are closed, all together.
     let end = Instant::now() + Duration::from_secs(8);
     let mut host = 1;
     while Instant::now() < end {
@@ -181,8 +181,8 @@
 
 #[tokio::test]
 async fn unconfirmed_claim_is_not_run_and_is_taken_over_by_another_host() {
-    // A long store deadline leaves time to hang the store between the write and the read-back, also on a
-    // busy machine.
+    // A long store deadline leaves time to hang the store between the write and the read-back, also
+    // on a busy machine.
     let long_deadline = json!({ "store": { "deadline": 1500 } });
     let cluster =
         ClusterConfig::new(2, 1).with_deadline(4000).with_entry(long_deadline).start().await;
@@ -223,7 +223,8 @@
             let other = cluster.call(number % 2, &Call::get("/red/alpha")).await;
             assert_eq!(other.status, 200, "{other:?}");
         }
-        // At each of the two hosts, an occasional request probes the store and waits for its timeout.
+        // At each of the two hosts, an occasional request probes the store and waits for its
+        // timeout.
         assert!(slow.len() <= 3, "refused too late: {slow:?}");
         for number in 0..40 {
             assert_eq!(cluster.count_runs(&format!("down-{number}")).await, 0);
@@ -311,10 +312,12 @@
     assert!(started.elapsed() >= Duration::from_secs(6), "gone after {:?}", started.elapsed());
 }
 
-// Guards against two faults at a store latency of 0.45 s, which the store is allowed to have. A store timeout of 0.35 s made hosts
-// report `store-down`. Reading heartbeats, membership list, configuration and hosts one after the other let the list grow up to 2.3 s
-// old, where a host may serve with a list of at most 1.6 s (`not-ready`). On an overloaded machine, two tests of this file failed with
-// these symptoms: a retry got `not-ready` instead of `owner-unreachable`, and a call got 503 instead of 200.
+// Guards against two faults at a store latency of 0.45 s, which the store is allowed to have. A
+// store timeout of 0.35 s made hosts report `store-down`. Reading heartbeats, membership list,
+// configuration and hosts one after the other let the list grow up to 2.3 s old, where a host may
+// serve with a list of at most 1.6 s (`not-ready`). On an overloaded machine, two tests of this
+// file failed with these symptoms: a retry got `not-ready` instead of `owner-unreachable`, and a
+// call got 503 instead of 200.
 #[tokio::test]
 async fn hosts_stay_ready_and_keyed_requests_run_with_450_ms_store_latency() {
     let cluster = ClusterConfig::new(2, 1).with_deadline(5000).start().await;
--- a/reachhead/tests/system/limits.rs
+++ b/reachhead/tests/system/limits.rs
@@ -243,7 +243,8 @@
     let row = json!({ "parent": "top", "settings": { "queue": 99 } });
     let version = cluster.change(vec![("group/red".to_owned(), row)]).await;
     cluster.wait_in_force(version).await;
-    // Longer than the silence after which a host is considered dead; the store hangs part of the time.
+    // Longer than the silence after which a host is considered dead; the store hangs part of the
+    // time.
     for round in 0..60 {
         let is_down = (20..40).contains(&round);
         cluster.set_store_fault(json!({ "hang": is_down })).await;
--- a/reachhead/tests/system/load.rs
+++ b/reachhead/tests/system/load.rs
@@ -14,7 +14,8 @@
 
 use reachhead_harness::{Call, Cluster, Reply, call};
 
-/// Period of the balancer's readiness checks; an entry host that stops keeps serving for longer than this.
+/// Period of the balancer's readiness checks; an entry host that stops keeps serving for longer
+/// than this.
 pub const BALANCER_PERIOD: Duration = Duration::from_millis(100);
 
 /// Number of concurrent callers.
@@ -99,7 +100,8 @@
     }
 }
 
-/// Checks the readiness of `hosts` periodically and keeps the caller addresses of ready ones in `ready`.
+/// Checks the readiness of `hosts` periodically and keeps the caller addresses of ready ones in
+/// `ready`.
 async fn run_balancer(
     hosts: Arc<Mutex<BTreeMap<SocketAddr, SocketAddr>>>,
     ready: Arc<Mutex<Vec<SocketAddr>>>,
--- a/reachhead/tests/system/main.rs
+++ b/reachhead/tests/system/main.rs
@@ -1,7 +1,7 @@
 //! End-to-end tests of the whole system, run as real processes over loopback.
 //!
-//! The programs must be built first, as `extra/test.sh` does. Each test has a loopback address of its
-//! own, so that tests run in parallel without port conflicts.
+//! The programs must be built first, as `extra/test.sh` does. Each test has a loopback address of
+//! its own, so that tests run in parallel without port conflicts.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
--- a/reachhead/tests/system/operators.rs
+++ b/reachhead/tests/system/operators.rs
@@ -97,7 +97,8 @@
     assert_eq!(get(&blue, "/v1/rows").await.status, 200);
 }
 
-/// Makes `count` changes that each add one to a row, rereading it after each conflict; returns their ids.
+/// Makes `count` changes that each add one to a row, rereading it after each conflict; returns
+/// their ids.
 async fn increment_row(admin: SocketAddr, row: &str, count: u64) -> Vec<String> {
     let mut accepted = Vec::new();
     while accepted.len() < count as usize {
--- a/reachhead/tests/system/outcomes.rs
+++ b/reachhead/tests/system/outcomes.rs
@@ -16,7 +16,8 @@
     eventually,
 };
 
-/// Sends raw bytes, with a pause after each piece, and returns what is received until the connection ends.
+/// Sends raw bytes, with a pause after each piece, and returns what is received until the
+/// connection ends.
 async fn send_raw(address: SocketAddr, pieces: &[&[u8]], pause: Duration) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     for piece in pieces {
@@ -131,7 +132,8 @@
     assert_eq!((reply.status, reply.body.len(), reply.is_complete), (200, 200, true));
 }
 
-/// Starts a minion that answers every request with the same bytes, then closes the connection if `closes`.
+/// Starts a minion that answers every request with the same bytes, then closes the connection if
+/// `closes`.
 async fn start_scripted_minion(
     ip: std::net::IpAddr,
     response: &'static [u8],
@@ -253,7 +255,8 @@
     let mut cluster = ClusterConfig::new(1, 3).with_deadline(1000).start().await;
     cluster.minions[0].process.signal(Signal::SIGSTOP);
     cluster.minions[1].process.kill();
-    // Requests that may be repeated are retried on the third minion; a few may time out on the frozen one.
+    // Requests that may be repeated are retried on the third minion; a few may time out on the
+    // frozen one.
     let mut served = 0;
     for _ in 0..60 {
         served += u32::from(cluster.call(0, &Call::get("/red/alpha")).await.status == 200);
--- a/reachhead/tests/system/waves.rs
+++ b/reachhead/tests/system/waves.rs
@@ -13,8 +13,8 @@
 
 use crate::load::Load;
 
-/// Starts a cluster with a minion of each service on each of `workers` hosts, the last of which is in a
-/// pool of its own; at most `limit` minions of a service may be unavailable.
+/// Starts a cluster with a minion of each service on each of `workers` hosts, the last of which is
+/// in a pool of its own; at most `limit` minions of a service may be unavailable.
 async fn start_with_workers(hosts: usize, workers: usize, limit: u64) -> Cluster {
     let cluster = ClusterConfig::new(hosts, workers).with_work(5).start().await;
     let service = |group: &str| json!({ "group": group, "pool": "main", "max_unavailable": limit });
@@ -63,7 +63,8 @@
     hosts.values().filter(is_done).count()
 }
 
-/// Waits until every host is done, and asserts that the wave never made more than `limit` unavailable.
+/// Waits until every host is done, and asserts that the wave never made more than `limit`
+/// unavailable.
 async fn wait_all_done(cluster: &Cluster, limit: usize) {
     eventually("every host is done", async || {
         let hosts = fetch_hosts(cluster).await;
--- a/reachhead_admin/src/api/change.rs
+++ b/reachhead_admin/src/api/change.rs
@@ -22,7 +22,8 @@
     auth::Caller,
 };
 
-/// Number of versions between two truncations of the log; less than one truncation deletes, so that the log stays bounded.
+/// Number of versions between two truncations of the log; less than one truncation deletes, so that
+/// the log stays bounded.
 const LOG_TRUNCATION_PERIOD: u64 = 32;
 
 /// Response to an accepted change.
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Truncates the log every [`LOG_TRUNCATION_PERIOD`] versions; after a failure a later change retries.
+    /// Truncates the log every [`LOG_TRUNCATION_PERIOD`] versions; after a failure a later change
+    /// retries.
     async fn truncate_log(&self, version: Version) {
         if version.0 % LOG_TRUNCATION_PERIOD != 0 {
             return;
--- a/reachhead_admin/src/api/hosts.rs
+++ b/reachhead_admin/src/api/hosts.rs
@@ -153,7 +153,8 @@
         Ok(http::json(StatusCode::OK, &row))
     }
 
-    /// Returns the host if the operator's scope covers its pool; `None` if it does not or the host is absent.
+    /// Returns the host if the operator's scope covers its pool; `None` if it does not or the host
+    /// is absent.
     async fn find_permitted_host(
         &self,
         host: &str,
--- a/reachhead_admin/src/api/mod.rs
+++ b/reachhead_admin/src/api/mod.rs
@@ -47,7 +47,8 @@
     status: StatusReader,
     /// Minimum number of versions kept in the log.
     min_log_versions: u64,
-    /// Configuration rows as last read; changes hold the lock and are validated against them one by one.
+    /// Configuration rows as last read; changes hold the lock and are validated against them one by
+    /// one.
     snapshot: Mutex<ConfigSnapshot>,
 }
 
@@ -129,7 +130,8 @@
                 let Some(fleet) = parse_fleet(&snapshot) else {
                     return invalid_configuration();
                 };
-                // Releases the lock, so that other requests don't wait for the store accesses below.
+                // Releases the lock, so that other requests don't wait for the store accesses
+                // below.
                 drop(snapshot);
                 let access = Access { caller, fleet };
                 match page {
@@ -156,7 +158,8 @@
     }
 }
 
-/// Returns the fleet of `snapshot`; `None` if its rows are invalid, which the validation of changes rules out.
+/// Returns the fleet of `snapshot`; `None` if its rows are invalid, which the validation of changes
+/// rules out.
 fn parse_fleet(snapshot: &ConfigSnapshot) -> Option<Fleet> {
     Fleet::from_rows(snapshot.version(), snapshot.rows()).ok()
 }
--- a/reachhead_admin/src/api/read.rs
+++ b/reachhead_admin/src/api/read.rs
@@ -103,7 +103,8 @@
         let after = api::version_query_parameter(query, "after", Version(0));
         match history::log(&*self.store, after).await {
             Ok(mut rows) => {
-                // Versions without readable writes stay in the list, so that a client can continue after them.
+                // Versions without readable writes stay in the list, so that a client can continue
+                // after them.
                 for row in &mut rows {
                     row.writes.retain(|write| access.covers(&write.reader));
                 }
--- a/reachhead_admin/src/auth.rs
+++ b/reachhead_admin/src/auth.rs
@@ -47,13 +47,14 @@
         }
     }
 
-    /// Returns whether `headers` contain the root token of the settings, which needs no configuration row.
+    /// Returns whether `headers` contain the root token of the settings, which needs no
+    /// configuration row.
     pub fn is_root(&self, headers: &HeaderMap) -> bool {
         bearer_token(headers).is_some_and(|text| token::digest(&self.salt, text) == self.hash)
     }
 
-    /// Returns the operator that sent a request with `headers`, by the operator rows of `snapshot`, or
-    /// `None` if the token is missing or invalid.
+    /// Returns the operator that sent a request with `headers`, by the operator rows of `snapshot`,
+    /// or `None` if the token is missing or invalid.
     pub fn authenticate(&self, headers: &HeaderMap, snapshot: &ConfigSnapshot) -> Option<Caller> {
         if self.is_root(headers) {
             return Some(Caller { operator: self.root.clone(), scope: Scope::Tree });
--- a/reachhead_admin/src/process.rs
+++ b/reachhead_admin/src/process.rs
@@ -1,4 +1,5 @@
-//! Start-up and shutdown: the API on the main thread, beside the ops listener and the status query thread.
+//! Start-up and shutdown: the API on the main thread, beside the ops listener and the status query
+//! thread.
 
 use std::{io, sync::Arc};
 
--- a/reachhead_control/src/claim_cleaner.rs
+++ b/reachhead_control/src/claim_cleaner.rs
@@ -1,4 +1,5 @@
-//! Deletes at-most-once claims past their retention time, without comparing clocks of different hosts.
+//! Deletes at-most-once claims past their retention time, without comparing clocks of different
+//! hosts.
 //!
 //! A row in the store holds marks: revisions of the store, written at least one step apart by the
 //! clock of the writing host. A claim last written before the oldest mark is older than all steps
@@ -92,8 +93,8 @@
         Ok(())
     }
 
-    /// Writes a mark and returns the revision up to which claims have expired; `None` if another host
-    /// wrote one first or there are too few marks yet.
+    /// Writes a mark and returns the revision up to which claims have expired; `None` if another
+    /// host wrote one first or there are too few marks yet.
     async fn write_mark(
         &self,
         mut marks: Marks,
@@ -132,7 +133,8 @@
                     .with_check(row.key.clone(), Some(row.revision))
                     .with_delete(row.key.clone());
             }
-            // A claim that changed meanwhile fails the transaction of the whole page; the next cleanup deletes the rest.
+            // A claim that changed meanwhile fails the transaction of the whole page; the next
+            // cleanup deletes the rest.
             if !txn.writes.is_empty()
                 && let Commit::Done(_) = self.store.commit(txn.clone()).await?
             {
--- a/reachhead_control/src/follower.rs
+++ b/reachhead_control/src/follower.rs
@@ -1,6 +1,7 @@
 //! Polls the store for configuration and membership, and writes this host's heartbeat.
 //!
-//! The fleet as a whole polls at a fixed rate, so each host's period grows with the number of hosts.
+//! The fleet as a whole polls at a fixed rate, so each host's period grows with the number of
+//! hosts.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -78,8 +79,8 @@
 
     /// Polls until `stop` turns true, then removes this host from the membership list.
     ///
-    /// Each task has its own loop: run one after the other on a slow store, they would refresh the list so rarely that hosts would
-    /// stop serving because of its age.
+    /// Each task has its own loop: run one after the other on a slow store, they would refresh the
+    /// list so rarely that hosts would stop serving because of its age.
     pub async fn run(self, stop: watch::Receiver<bool>) {
         tokio::join!(
             self.repeat(PeriodicTask::Heartbeat, stop.clone()),
@@ -132,7 +133,8 @@
                 Ok(())
             }
             Ok(Some(ConfigUpdate::Delta(delta))) => {
-                // A gap means that the log was truncated meanwhile; the next round reads the whole configuration.
+                // A gap means that the log was truncated meanwhile; the next round reads the whole
+                // configuration.
                 let _ = self.view.apply_delta(&delta);
                 Ok(())
             }
@@ -140,7 +142,8 @@
         });
     }
 
-    /// Reads the platform's host list. It is a separate service, so its errors don't count as store errors.
+    /// Reads the platform's host list. It is a separate service, so its errors don't count as store
+    /// errors.
     async fn follow_hosts(&self) {
         match self.hosts.list(self.view.hosts_revision()).await {
             Ok(Some(list)) => self.view.adopt_leaving(LeavingHosts::from(&list)),
@@ -195,10 +198,11 @@
         let scan = Scan { prefix: keys::MEMBER_PREFIX.to_owned(), after: None, limit: MAX_MEMBERS };
         let started_at = BootInstant::now();
         let page = self.store.scan(scan).await?;
-        // Record the end of an outage before processing the rows: no heartbeat made progress during it, which is no evidence against
-        // any host.
+        // Record the end of an outage before processing the rows: no heartbeat made progress during
+        // it, which is no evidence against any host.
         self.record_result(Ok(()));
-        // A row that can't be parsed was written by another release; its host is not counted as a member.
+        // A row that can't be parsed was written by another release; its host is not counted as a
+        // member.
         let parse = |row: &Row| Some((Member::deserialize(&row.value).ok()?, row.revision));
         let rows: Vec<(Member, Revision)> = page.rows.iter().filter_map(parse).collect();
         self.update_own_row(&rows, page.revision);
@@ -212,7 +216,8 @@
         Ok(())
     }
 
-    /// Updates the revision of this host's row from the rows read at `read_revision`; `None` if it was removed.
+    /// Updates the revision of this host's row from the rows read at `read_revision`; `None` if it
+    /// was removed.
     fn update_own_row(&self, rows: &[(Member, Revision)], read_revision: Revision) {
         let mut own = self.own_row();
         if own.revision.is_some_and(|known| known > read_revision) {
--- a/reachhead_control/src/gossiper.rs
+++ b/reachhead_control/src/gossiper.rs
@@ -1,4 +1,5 @@
-//! Spreads configuration and membership to random peers: once per period, and at once after a change.
+//! Spreads configuration and membership to random peers: once per period, and at once after a
+//! change.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -36,7 +37,8 @@
 }
 
 impl Gossiper {
-    /// Returns a gossiper with one round per `period`; `seeds` are contacted until members are known.
+    /// Returns a gossiper with one round per `period`; `seeds` are contacted until members are
+    /// known.
     pub fn new(view: Arc<View>, seeds: Vec<SocketAddr>, period: Duration) -> Self {
         Self {
             view,
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Drops peers whose last request failed: in an urgent round all of them, otherwise those within
-    /// [`UNRESPONSIVE_PAUSE`]. Returns all `peers` if none would be left.
+    /// Drops peers whose last request failed: in an urgent round all of them, otherwise those
+    /// within [`UNRESPONSIVE_PAUSE`]. Returns all `peers` if none would be left.
     fn responsive_peers(&self, peers: Vec<SocketAddr>, is_urgent: bool) -> Vec<SocketAddr> {
         let is_unresponsive = |peer: &SocketAddr| {
             self.unresponsive
--- a/reachhead_control/src/main.rs
+++ b/reachhead_control/src/main.rs
@@ -1,4 +1,5 @@
-//! Control process of an entry host: follows configuration and membership and feeds both to the entry process.
+//! Control process of an entry host: follows configuration and membership and feeds both to the
+//! entry process.
 
 mod claim_cleaner;
 mod follower;
--- a/reachhead_control/src/member_table.rs
+++ b/reachhead_control/src/member_table.rs
@@ -1,8 +1,9 @@
 //! Membership list of the entry hosts and heartbeat timeouts.
 //!
-//! The list is the set of member rows in the store, so all hosts see the same lists in the same order.
-//! No host excludes a member by its own judgement: a row without progress is deleted by a conditional
-//! write, which fails if the row has changed after all. docs/LIMITS.md states what depends on that.
+//! The list is the set of member rows in the store, so all hosts see the same lists in the same
+//! order. No host excludes a member by its own judgement: a row without progress is deleted by a
+//! conditional write, which fails if the row has changed after all. docs/LIMITS.md states what
+//! depends on that.
 
 use std::{
     collections::BTreeMap,
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Applies the rows of one read of the store at `revision`, and returns whether membership changed.
+    /// Applies the rows of one read of the store at `revision`, and returns whether membership
+    /// changed.
     pub fn process_rows(
         &mut self,
         rows: Vec<Member>,
@@ -74,8 +76,8 @@
         self.replace(MemberList { members: rows, revision })
     }
 
-    /// Adopts a peer's list if it is newer, for hosts that can't read the store, and returns whether
-    /// membership changed.
+    /// Adopts a peer's list if it is newer, for hosts that can't read the store, and returns
+    /// whether membership changed.
     pub fn adopt(&mut self, list: MemberList) -> bool {
         list.revision > self.revision && self.replace(list)
     }
--- a/reachhead_control/src/pool_reconciler.rs
+++ b/reachhead_control/src/pool_reconciler.rs
@@ -22,8 +22,8 @@
 /// Random variation of the pause, as a fraction of it, so that hosts don't work in lockstep.
 const JITTER: f64 = 0.1;
 
-/// Pause in rounds while no host of the owned pools is moving: when idle, these rounds are most of a
-/// control process's traffic.
+/// Pause in rounds while no host of the owned pools is moving: when idle, these rounds are most of
+/// a control process's traffic.
 const IDLE_ROUNDS: u32 = 3;
 
 /// Runs the pool controller and reports its state to the [`View`].
--- a/reachhead_control/src/process.rs
+++ b/reachhead_control/src/process.rs
@@ -1,6 +1,7 @@
 //! Start-up and shutdown of the process: a few threads around one shared view.
 //!
-//! - the main thread: polls the store, writes this host's heartbeat, cleans up old claims, reconciles pools.
+//! - the main thread: polls the store, writes this host's heartbeat, cleans up old claims,
+//!   reconciles pools.
 //! - `gossip`: exchanges state with peers.
 //! - `link`: answers this host's entry process, peers and operators' tools.
 //! - `ops`: serves health, metrics and state to operators.
--- a/reachhead_control/src/timeouts.rs
+++ b/reachhead_control/src/timeouts.rs
@@ -5,7 +5,8 @@
 use reachhead_config::control::ControlSettings;
 use reachhead_store::breaker::MAX_PROBE_PAUSE;
 
-/// Longest time between two reads, in periods: jitter and late starts can lengthen a period by a quarter.
+/// Longest time between two reads, in periods: jitter and late starts can lengthen a period by a
+/// quarter.
 const MAX_READ_PERIODS: f64 = 1.25;
 
 /// Margin for a busy host and for the delay from the control process to the entry process.
@@ -36,7 +37,8 @@
         self.period_per_host * hosts.max(1) as u32
     }
 
-    /// Returns the time within which each of `hosts` hosts has either read a new list or stopped serving.
+    /// Returns the time within which each of `hosts` hosts has either read a new list or stopped
+    /// serving.
     pub fn propagation_timeout(&self, hosts: usize) -> Duration {
         // A read that starts in time ends within the store's deadline.
         let read_timeout =
@@ -44,14 +46,15 @@
         read_timeout + PROPAGATION_MARGIN
     }
 
-    /// Returns the time without a heartbeat after which one of `hosts` hosts is removed from the list.
+    /// Returns the time without a heartbeat after which one of `hosts` hosts is removed from the
+    /// list.
     pub fn member_timeout(&self, hosts: usize) -> Duration {
         // After a store outage a host may notice late that the store is back.
         self.member_period(hosts) * self.max_missed + MAX_PROBE_PAUSE + self.store_deadline
     }
 
-    /// Returns the time without a heartbeat after which one of `hosts` hosts loses its pools. It may be
-    /// short: a false suspicion costs only a handover.
+    /// Returns the time without a heartbeat after which one of `hosts` hosts loses its pools. It
+    /// may be short: a false suspicion costs only a handover.
     pub fn lease_timeout(&self, hosts: usize) -> Duration {
         self.member_period(hosts).mul_f64(MAX_READ_PERIODS) * self.max_lease_missed
             + self.store_deadline
--- a/reachhead_control/src/view.rs
+++ b/reachhead_control/src/view.rs
@@ -28,8 +28,8 @@
 /// State shared by the threads of this process.
 pub struct View {
     state: Mutex<State>,
-    /// Signalled when a new version is in force or the store is lost or back, so that gossip starts a
-    /// round at once.
+    /// Signalled when a new version is in force or the store is lost or back, so that gossip starts
+    /// a round at once.
     changed: Condvar,
     host: HostId,
     timeouts: Timeouts,
@@ -285,8 +285,8 @@
         self.state().leaving.revision
     }
 
-    /// Waits for the next gossip round: after `period`, or at once when there is a new version or the
-    /// store was lost or came back.
+    /// Waits for the next gossip round: after `period`, or at once when there is a new version or
+    /// the store was lost or came back.
     pub fn wait_for_round(&self, period: Duration) -> GossipRound {
         let state = self.state();
         let was_store_lost = state.store_lost;
@@ -306,8 +306,8 @@
         GossipRound { have, delta, list: state.members.stamp(), peers }
     }
 
-    /// Returns the input of a pool reconciliation round; `placements` are those of the newest version
-    /// that the caller has.
+    /// Returns the input of a pool reconciliation round; `placements` are those of the newest
+    /// version that the caller has.
     pub fn round_input(&self, placements: Arc<MinionPlacements>) -> RoundInput {
         let own = self.own_member();
         let state = self.state();
--- a/reachhead_entry/src/process/slot_borrower.rs
+++ b/reachhead_entry/src/process/slot_borrower.rs
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Returns a loan to its lender once it has expired and no request runs on it any more.
+    /// Returns a loan to its lender once it has expired and no request runs on it any more, at the
+    /// latest after the grace period.
     async fn return_loan(
         self: Rc<Self>,
         service: Rc<Service>,
--- a/reachhead_harness/src/cluster/mod.rs
+++ b/reachhead_harness/src/cluster/mod.rs
@@ -98,8 +98,8 @@
 }
 
 impl ClusterConfig {
-    /// Returns the configuration of a cluster with `hosts` entry hosts and `minions` minions for each of two
-    /// services.
+    /// Returns the configuration of a cluster with `hosts` entry hosts and `minions` minions for
+    /// each of two services.
     pub fn new(hosts: usize, minions: usize) -> Self {
         Self { hosts, minions, work: 0, deadline: 1500, entry: json!({}), control: json!({}) }
     }
@@ -133,7 +133,8 @@
         Cluster::start_bare(self).await
     }
 
-    /// Starts the whole cluster with its configuration rows and waits until every entry host is ready.
+    /// Starts the whole cluster with its configuration rows and waits until every entry host is
+    /// ready.
     pub async fn start(self) -> Cluster {
         let mut cluster = Cluster::start_bare(self).await;
         cluster.configure().await;
@@ -223,8 +224,8 @@
         self.start_host(store, [control_link, entry_link], [control_link, entry_link]);
     }
 
-    /// Starts an entry host whose control and entry processes are reached by peers only through the returned
-    /// proxies, in this order.
+    /// Starts an entry host whose control and entry processes are reached by peers only through the
+    /// returned proxies, in this order.
     pub async fn add_host_behind_proxies(&mut self) -> [Proxy; 2] {
         let links = [(); 2].map(|()| free_address(self.ip));
         let control = Proxy::new(self.ip, links[0]).await;
@@ -233,8 +234,8 @@
         [control, entry]
     }
 
-    /// Starts an entry host whose control and entry processes listen on `links` and advertise `advertised`
-    /// to peers.
+    /// Starts an entry host whose control and entry processes listen on `links` and advertise
+    /// `advertised` to peers.
     fn start_host(
         &mut self,
         store: SocketAddr,
@@ -352,7 +353,8 @@
 
 /// Returns an address of `ip` with a free port; it stays free, since only this test uses `ip`.
 pub fn free_address(ip: IpAddr) -> SocketAddr {
-    // The kernel may choose the same port again before a process listens on it, so each is returned once.
+    // The kernel may choose the same port again before a process listens on it, so each is returned
+    // once.
     static RETURNED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
     let _spawn = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     loop {
@@ -382,7 +384,8 @@
     .await;
 }
 
-/// Returns the state that a process reports at its ops listener; null if the process does not respond.
+/// Returns the state that a process reports at its ops listener; null if the process does not
+/// respond.
 pub async fn fetch_state(ops: SocketAddr) -> Value {
     let reply = call(ops, &Call::get("/state")).await;
     serde_json::from_str(&reply.body).unwrap_or_default()
--- a/reachhead_harness/src/process.rs
+++ b/reachhead_harness/src/process.rs
@@ -22,8 +22,8 @@
 /// Size of a memory page, the unit of resident memory in `/proc/PID/stat`.
 const PAGE_BYTES: u64 = 4096;
 
-/// Serializes process starts and port probes: between fork and exec, a new process holds copies of all
-/// sockets of its parent, which would keep a probed port in use.
+/// Serializes process starts and port probes: between fork and exec, a new process holds copies of
+/// all sockets of its parent, which would keep a probed port in use.
 pub static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Child process; killed when the value is dropped.
@@ -43,7 +43,8 @@
     pub threads: u64,
 }
 
-/// Returns the path of a program in the folder of the running one or in one above it, if it is built.
+/// Returns the path of a program in the folder of the running one or in one above it, if it is
+/// built.
 pub fn find_program(name: &str) -> Option<PathBuf> {
     let current = env::current_exe().ok()?;
     let mut folders = current.ancestors().skip(1);
@@ -118,7 +119,8 @@
     pub fn usage(&self) -> Usage {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = fs::read_to_string(path).expect("the process is running");
-        // The name in parentheses may contain spaces and parentheses, so fields are counted after it.
+        // The name in parentheses may contain spaces and parentheses, so fields are counted after
+        // it.
         let fields: Vec<&str> =
             stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let field = |number: usize| fields[number].parse::<u64>().unwrap_or_default();
--- a/reachhead_harness/src/proxy.rs
+++ b/reachhead_harness/src/proxy.rs
@@ -19,7 +19,8 @@
 
 use crate::POLL_PERIOD;
 
-/// TCP proxy that silently drops all data while partitioned: as in a real network, no side gets an error.
+/// TCP proxy that silently drops all data while partitioned: as in a real network, no side gets an
+/// error.
 pub struct Proxy {
     /// Address to connect to in place of the target.
     pub address: SocketAddr,
@@ -55,7 +56,8 @@
     }
 }
 
-/// Forwards one direction of a connection until it closes; a close during a partition is delayed to its end.
+/// Forwards one direction of a connection until it closes; a close during a partition is delayed to
+/// its end.
 async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, is_partitioned: Arc<AtomicBool>) {
     let mut buffer = vec![0; 16 << 10];
     let mut has_lost_data = false;
--- a/reachhead_ops/src/cli.rs
+++ b/reachhead_ops/src/cli.rs
@@ -20,7 +20,8 @@
 ///
 /// # Errors
 ///
-/// Returns the exit code: 0 after `--help` and `--version`, [`EXIT_USAGE`] for an invalid command line.
+/// Returns the exit code: 0 after `--help` and `--version`, [`EXIT_USAGE`] for an invalid command
+/// line.
 pub fn parse_args<T: FromArgs>(program: &str) -> Result<T, ExitCode> {
     let args: Vec<String> = env::args().skip(1).collect();
     if args.first().is_some_and(|arg| arg == "--version" || arg == "-V") {
@@ -48,8 +49,8 @@
     settings: PathBuf,
 }
 
-/// Runs a long-lived process: reads the command line and the settings of `reachhead-PROGRAM`, starts
-/// the logger and calls `run`.
+/// Runs a long-lived process: reads the command line and the settings of `reachhead-PROGRAM`,
+/// starts the logger and calls `run`.
 pub fn run_daemon<S: Section, E: Display>(
     program: &str,
     run: impl FnOnce(S) -> Result<(), E>,
--- a/reachhead_ops/src/client.rs
+++ b/reachhead_ops/src/client.rs
@@ -21,22 +21,26 @@
 /// Maximum number of idle connections per peer; further ones are closed after use.
 const MAX_IDLE_PER_PEER: usize = 3;
 
-/// Maximum number of peers with idle connections of short calls; those of the least recently called peer are closed first.
-/// Without it a process with thousands of peers would run out of file descriptors and memory after a burst.
+/// Maximum number of peers with idle connections of short calls; those of the least recently called
+/// peer are closed first. Without it a process with thousands of peers would run out of file
+/// descriptors and memory after a burst.
 const MAX_IDLE_SHORT_PEERS: usize = 512;
 
-/// Delay of a timer from which this process counts as late itself; in an idle process timers fire within a few milliseconds.
+/// Delay of a timer from which this process counts as late itself; in an idle process timers fire
+/// within a few milliseconds.
 const MIN_LATENESS: Duration = Duration::from_millis(20);
 
-/// Maximum extension of a deadline because of this process's own lateness; worker leases last longer than that.
+/// Maximum extension of a deadline because of this process's own lateness; worker leases last
+/// longer than that.
 const MAX_LATENESS: Duration = Duration::from_millis(2000);
 
-/// Maximum number of concurrent short calls per peer; further ones wait, since a new connection costs more than waiting for a
-/// free one. Two, so that a single unanswered call does not block all others; more would cost an owner of many workers too
-/// many file descriptors in a burst.
+/// Maximum number of concurrent short calls per peer; further ones wait, since a new connection
+/// costs more than waiting for a free one. Two, so that a single unanswered call does not block all
+/// others; more would cost an owner of many workers too many file descriptors in a burst.
 const MAX_SHORT_CALLS: usize = 2;
 
-/// Number of peers with a semaphore for short calls above which those without calls in flight are dropped.
+/// Number of peers with a semaphore for short calls above which those without calls in flight are
+/// dropped.
 const MAX_SHORT_PEERS: usize = 512;
 
 /// Why a call returned no response.
@@ -45,13 +49,15 @@
     /// No byte of the request was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// No byte of the request was sent: the connection was refused, so the peer's host is up but nothing listens on the port.
+    /// No byte of the request was sent: the connection was refused, so the peer's host is up but
+    /// nothing listens on the port.
     #[error("nothing listens on the port: {0}")]
     PortClosed(String),
     /// The request may have been sent, and there is no complete response.
     #[error("{0}")]
     Lost(String),
-    /// The request was sent, and the connection ended without a complete response: it was carried out before that or never will be.
+    /// The request was sent, and the connection ended without a complete response: it was carried
+    /// out before that or never will be.
     #[error("connection broken: {0}")]
     Broken(String),
 }
@@ -60,8 +66,9 @@
 
 /// An HTTP client that reuses connections.
 ///
-/// After a timeout the call's connection and all idle ones to the same peer are closed: a connection can
-/// stop delivering without a reset, and only a new one shows whether the peer is alive.
+/// After a timeout the call's connection and all idle ones to the same peer are closed: a
+/// connection can stop delivering without a reset, and only a new one shows whether the peer is
+/// alive.
 #[derive(Default)]
 pub struct HttpClient {
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
@@ -113,7 +120,8 @@
         }
     }
 
-    /// Sends a request that the peer answers at once, with a limit on concurrent short calls to that peer.
+    /// Sends a request that the peer answers at once, with a limit on concurrent short calls to
+    /// that peer.
     ///
     /// # Errors
     ///
@@ -139,7 +147,8 @@
         response
     }
 
-    /// Records an idle connection of a short call, and closes those of the least recently used peer beyond the limit.
+    /// Records an idle connection of a short call, and closes those of the least recently used peer
+    /// beyond the limit.
     fn record_short_idle(&self, address: SocketAddr) {
         let oldest = {
             let mut idle = self.short_idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -193,10 +202,11 @@
     Broken(String),
 }
 
-/// Waits for `response` until `end`, extended by the lateness of this process itself, and returns `None` on a timeout.
+/// Waits for `response` until `end`, extended by the lateness of this process itself, and returns
+/// `None` on a timeout.
 ///
-/// A response that arrived in time but was read late is not lost; otherwise a busy owner would take all its workers for
-/// unreachable at once.
+/// A response that arrived in time but was read late is not lost; otherwise a busy owner would take
+/// all its workers for unreachable at once.
 async fn within_deadline<T>(end: time::Instant, response: impl Future<Output = T>) -> Option<T> {
     tokio::pin!(response);
     let mut end = end;
--- a/reachhead_ops/src/deadline.rs
+++ b/reachhead_ops/src/deadline.rs
@@ -1,8 +1,9 @@
 //! HTTP calls that send no byte after a deadline.
 //!
-//! A process may be paused at any instruction, also between its last check of the clock and the system call that
-//! sends a request. So each write checks the clock, each call has its own connection, and that is reset at the
-//! deadline: unacknowledged data in the socket is then discarded instead of delivered late.
+//! A process may be paused at any instruction, also between its last check of the clock and the
+//! system call that sends a request. So each write checks the clock, each call has its own
+//! connection, and that is reset at the deadline: unacknowledged data in the socket is then
+//! discarded instead of delivered late.
 
 use std::{
     io,
@@ -29,8 +30,8 @@
 
 use crate::client::CallError;
 
-/// Maximum sleep between two checks of the clock. Timers don't advance while the host is suspended, so a single sleep until the
-/// deadline would end too late by the time of suspension.
+/// Maximum sleep between two checks of the clock. Timers don't advance while the host is suspended,
+/// so a single sleep until the deadline would end too late by the time of suspension.
 const MAX_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
 /// The instant until which a call may write, and the clock to compare it with.
@@ -114,8 +115,8 @@
     }
 }
 
-/// Sends a request on its own connection and returns the buffered response. Nothing is sent after the deadline; a
-/// call that is still in flight then is aborted and its connection reset.
+/// Sends a request on its own connection and returns the buffered response. Nothing is sent after
+/// the deadline; a call that is still in flight then is aborted and its connection reset.
 ///
 /// # Errors
 ///
--- a/reachhead_ops/src/lib.rs
+++ b/reachhead_ops/src/lib.rs
@@ -1,4 +1,5 @@
-//! Infrastructure shared by all processes: command line, HTTP, log events, ops listener, runtime and signals.
+//! Infrastructure shared by all processes: command line, HTTP, log events, ops listener, runtime
+//! and signals.
 
 pub mod cli;
 pub mod client;
--- a/reachhead_ops/src/logs.rs
+++ b/reachhead_ops/src/logs.rs
@@ -1,5 +1,5 @@
-//! Non-blocking logger on standard output: lines go through a bounded queue to a writer thread, and lines
-//! above a rate limit or beyond a full queue are dropped and counted.
+//! Non-blocking logger on standard output: lines go through a bounded queue to a writer thread, and
+//! lines above a rate limit or beyond a full queue are dropped and counted.
 
 use std::{
     io::{self, Write},
@@ -16,8 +16,8 @@
 /// Maximum number of lines in the queue.
 const QUEUE_LINES: usize = 2048;
 
-/// Maximum number of lines per window, so that a process with a fraction of a core does not spend it on
-/// logging.
+/// Maximum number of lines per window, so that a process with a fraction of a core does not spend
+/// it on logging.
 const MAX_WINDOW_LINES: u32 = 400;
 
 /// Length of a rate limit window.
@@ -80,7 +80,8 @@
     }
 }
 
-/// Writes queued lines until the queue closes or standard output fails, which can't be reported anywhere.
+/// Writes queued lines until the queue closes or standard output fails, which can't be reported
+/// anywhere.
 fn write_lines(lines: &Receiver<Vec<u8>>) {
     let mut out = io::stdout().lock();
     while let Ok(first) = lines.recv() {
--- a/reachhead_ops/tests/connections.rs
+++ b/reachhead_ops/tests/connections.rs
@@ -51,8 +51,9 @@
     port
 }
 
-/// Guards against file descriptor exhaustion: without a limit, an owner of 1,451 workers kept up to three idle connections to
-/// each after a burst, which took 3,786 of the 4,100 descriptors of its host and most of its memory.
+/// Guards against file descriptor exhaustion: without a limit, an owner of 1,451 workers kept up to
+/// three idle connections to each after a burst, which took 3,786 of the 4,100 descriptors of its
+/// host and most of its memory.
 #[tokio::test]
 async fn idle_connections_of_short_calls_are_bounded_across_peers() {
     let open = Arc::new(AtomicUsize::new(0));
--- a/reachhead_ops/tests/deadline.rs
+++ b/reachhead_ops/tests/deadline.rs
@@ -30,7 +30,8 @@
     request.body(Full::new(Bytes::from_static(b"{}"))).unwrap()
 }
 
-/// Accepts one connection, responds if `answers`, and reports the bytes read and whether the connection was reset.
+/// Accepts one connection, responds if `answers`, and reports the bytes read and whether the
+/// connection was reset.
 async fn server(answers: bool) -> (SocketAddr, oneshot::Receiver<(usize, bool)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -83,8 +84,8 @@
     BootInstant::now() + Duration::from_secs(5)
 }
 
-/// Timers and the monotonic clock did not advance while the host was suspended for five seconds, but the lease under which the
-/// order was to be sent expired.
+/// Timers and the monotonic clock did not advance while the host was suspended for five seconds,
+/// but the lease under which the order was to be sent expired.
 #[tokio::test]
 async fn a_host_suspended_past_the_deadline_sends_nothing() {
     let (address, report) = server(true).await;
@@ -99,7 +100,8 @@
     assert_eq!(bytes, 0);
 }
 
-/// A call in flight is reset soon after the host resumes, not when a timer expires that did not advance during the suspension.
+/// A call in flight is reset soon after the host resumes, not when a timer expires that did not
+/// advance during the suspension.
 #[tokio::test]
 async fn a_host_suspended_during_a_call_resets_the_connection_on_resume() {
     static SUSPENDED: AtomicBool = AtomicBool::new(false);
--- a/reachhead_pool/src/lease.rs
+++ b/reachhead_pool/src/lease.rs
@@ -1,11 +1,10 @@
 //! The lease of a pool: which entry host owns it.
 //!
 //! Each pool prefers one entry host by rendezvous hashing, which spreads pools without
-//! communication. A lease row makes ownership exclusive. An owner counts as failed if its row on
-//! the membership list, which it increments as a heartbeat, makes no progress for longer than the
-//! lease, measured by the clock of the observer; clocks are never compared. A wrong verdict is
-//! harmless, since every write of an owner has the revision of its lease as a precondition (a
-//! fencing token).
+//! communication. A lease row makes ownership exclusive. An owner counts as failed if its heartbeat,
+//! a counter in its member row, makes no progress for longer than the lease lasts, measured by the
+//! clock of the observer; clocks are never compared. A wrong verdict is harmless, since every write
+//! of an owner has the revision of its lease as a precondition (a fencing token).
 
 use std::hash::{Hash, Hasher};
 
