--- a/reachhead_entry/src/process/peer_server.rs
+++ b/reachhead_entry/src/process/peer_server.rs
@@ -68,7 +68,7 @@
         Some(AttemptState::Pending | AttemptState::Sent) => EntryReply::InProgress,
         Some(AttemptState::Abandoned) => EntryReply::Abandoned,
         Some(AttemptState::Done(answer)) => EntryReply::Done(Box::new((**answer).clone())),
-        Some(AttemptState::Unkept) => EntryReply::NotKept,
+        Some(AttemptState::NotKept) => EntryReply::NotKept,
         Some(AttemptState::Lost) => EntryReply::Lost,
     }
 }
--- a/reachhead_entry/src/request/idempotency.rs
+++ b/reachhead_entry/src/request/idempotency.rs
@@ -150,7 +150,7 @@
             );
         }
         ProxiedBody::Streaming { .. } => {
-            finish_claim(proxy, claim, AttemptState::Unkept, ClaimState::NotKept)
+            finish_claim(proxy, claim, AttemptState::NotKept, ClaimState::NotKept)
         }
     }
 }
@@ -221,7 +221,7 @@
             EarlyAnswer::Error(ErrorKind::KeyInProgress)
         }
         AttemptState::Done(kept) => EarlyAnswer::Replay(kept),
-        AttemptState::Unkept => EarlyAnswer::Error(ErrorKind::AnswerNotKept),
+        AttemptState::NotKept => EarlyAnswer::Error(ErrorKind::AnswerNotKept),
         AttemptState::Lost => EarlyAnswer::Error(ErrorKind::KeyOutcomeLost),
     }
 }
--- a/reachhead_path/src/claim.rs
+++ b/reachhead_path/src/claim.rs
@@ -28,7 +28,7 @@
     /// The minion answered.
     Done(Rc<KeptAnswer>),
     /// The minion answered, but the answer is too large to be kept.
-    Unkept,
+    NotKept,
     /// The request was sent, and the outcome is unknown.
     Lost,
 }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Sets the final state of a sent attempt: `Done`, `Unkept` or `Lost`. Attempts in other states
+    /// Sets the final state of a sent attempt: `Done`, `NotKept` or `Lost`. Attempts in other states
     /// are not changed.
     pub fn finish(&mut self, attempt: AttemptId, final_state: AttemptState) {
         if let Some(state @ AttemptState::Sent) = self.state_mut(attempt) {
