--- a/reachhead_config/src/entry.rs
+++ b/reachhead_config/src/entry.rs
@@ -57,7 +57,7 @@
     ClaimSettings {
         /// Milliseconds between two store writes for claims; claims that arrive meanwhile are batched.
         linger: Millis = Millis(20);
-        /// Maximum number of claims and records in one store write.
+        /// Maximum number of claims and outcomes in one store write.
         batch: NonZeroU32 = nonzero(256);
         /// Maximum number of claims that wait for the store; further requests fail with `store-down`.
         queue: NonZeroU32 = nonzero(1024);
--- a/reachhead_pool/tests/moves/main.rs
+++ b/reachhead_pool/tests/moves/main.rs
@@ -88,7 +88,7 @@
     let mut cluster = Cluster::new();
     let lease = json!({ "owner": "in words that this release does not know", "epoch": 7 });
     cluster.platform.write(keys::lease(&pool(0)), lease.clone());
-    // Time-outs are zero here, so a lease that counts as free would be acquired.
+    // Timeouts are zero here, so a lease that counts as free would be acquired.
     cluster.settle();
     assert_eq!(cluster.platform.value(&keys::lease(&pool(0))), Some(lease));
 }
--- a/reachhead_types/src/error.rs
+++ b/reachhead_types/src/error.rs
@@ -129,7 +129,7 @@
     NotStored "not-stored" 503 NotRun Some(1);
     /// No process that knows the job can be reached.
     JobUnreachable "job-unreachable" 503 Unknown Some(1);
-    /// The queue is full; this request was not queued.
+    /// More requests are queued than can be served in time; this one was not queued.
     Overloaded "overloaded" 503 NotRun Some(1);
     /// The deadline passed, or would have passed, before a minion was free.
     DeadlineInQueue "deadline-in-queue" 503 NotRun Some(1);
@@ -145,7 +145,8 @@
     BadAnswer "bad-answer" 502 Unknown Some(1);
     /// The minion did not answer before the deadline.
     MinionTimeout "minion-timeout" 504 Unknown Some(1);
-    /// This entry host has no configuration yet or is shutting down.
+    /// This entry host has no configuration yet, has a stale view of configuration and membership,
+    /// or is shutting down.
     NotReady "not-ready" 503 NotRun Some(2);
 }
 
