--- a/reachhead_jobs/src/authority.rs
+++ b/reachhead_jobs/src/authority.rs
@@ -84,24 +84,24 @@
 }
 
 impl PreviousHolder<'_> {
-    /// Returns how long the successor gives no orders after its lease is stored, depending on
-    /// whether tokens are checked.
-    pub fn takeover_wait(&self, now: Tick, duty: Millis, checked: bool) -> Millis {
-        let overlap = if checked { Millis(0) } else { self.overlap_wait() };
-        self.alternation_wait(now, duty).max(overlap)
+    /// Returns how long the successor gives no orders after its lease is stored. `checks_tokens`
+    /// says whether the platform rejects orders with lower tokens.
+    pub fn takeover_wait(&self, now: Tick, lease_duration: Millis, checks_tokens: bool) -> Millis {
+        let overlap = if checks_tokens { Millis(0) } else { self.overlap_wait() };
+        self.alternation_wait(now, lease_duration).max(overlap)
     }
 
-    /// Returns the wait that keeps two processes that take the lease from each other from both
-    /// acting within the time of the duty. A holder that gave up, was killed or is partitioned does
-    /// not act any more, so there is no wait for one that held the lease for long. Nor is there one
-    /// if this process found the lease at its start, since the process itself can't have held it
-    /// shortly before; otherwise hosts would make no progress for three seconds after each restart
-    /// of all processes.
-    fn alternation_wait(&self, now: Tick, duty: Millis) -> Millis {
+    /// Returns the wait that prevents two processes that take the lease from each other in turn
+    /// from both giving orders within one lease duration. A holder that gave up, was killed or is
+    /// partitioned does not act any more, so there is no wait for one that held the lease for long.
+    /// Nor is there one if this process found the lease at its start, since the process itself
+    /// can't have held it shortly before; otherwise hosts would make no progress for three seconds
+    /// after each restart of all processes.
+    fn alternation_wait(&self, now: Tick, lease_duration: Millis) -> Millis {
         if !self.observed {
             return Millis(0);
         }
-        Millis(duty.0.saturating_sub(now.since(self.since).0))
+        Millis(lease_duration.0.saturating_sub(now.since(self.since).0))
     }
 
     /// Returns the wait until the holder's last confirmation is too old for further orders. A
--- a/reachhead_jobs/src/backoff.rs
+++ b/reachhead_jobs/src/backoff.rs
@@ -6,7 +6,7 @@
 
 use reachhead_types::size::Millis;
 
-/// Longest retry-after time. Beyond it jobs are late anyway, and the store may be back.
+/// Longest retry-after time. Beyond it callers are late anyway, and the store may be back.
 const MAX_RETRY_AFTER_S: u32 = 4;
 
 const MS_PER_SECOND: u64 = 1000;
--- a/reachhead_jobs/src/balance/scale_down.rs
+++ b/reachhead_jobs/src/balance/scale_down.rs
@@ -202,8 +202,9 @@
 
 /// Returns the cost of switching an idle host off and on again, as time of a host. Each such move
 /// delays another that some burst needs, so its cost is the time that the platform needs to move
-/// all hosts, shared by them. Below the time for which hosts are left idle anyway it does not
-/// count.
+/// all hosts, shared by them. The cost counts as zero if that time is no longer than [`MIN_IDLE`],
+/// for which hosts are left on anyway. `rate` is the number of orders a second that the platform
+/// accepts.
 pub fn restart_cost(hosts: usize, rate: f64) -> Millis {
     let all_moves =
         if rate > 0.0 { Millis((hosts as f64 / rate * MS_PER_SECOND) as u64) } else { Millis(0) };
--- a/reachhead_jobs/src/job.rs
+++ b/reachhead_jobs/src/job.rs
@@ -64,7 +64,8 @@
     pub pace_percent: u32,
     /// Ticket that permits the run, where an external service decides which workers may run it.
     pub ticket: Option<String>,
-    /// The run was ordered by a predecessor.
+    /// The run was ordered by a predecessor or resumes from a checkpoint, so the time since
+    /// `ordered_at` is not the duration of the task.
     pub adopted: bool,
 }
 
--- a/reachhead_jobs/src/pool/action.rs
+++ b/reachhead_jobs/src/pool/action.rs
@@ -14,7 +14,7 @@
     Start(WorkerTarget, StartOrder),
     /// Stop a run.
     Stop(WorkerTarget, TaskId, RunNumber),
-    /// Set the pace of a run, in percent.
+    /// Limit a run to this processor share, in percent.
     Pace(WorkerTarget, TaskId, RunNumber, u32),
     /// Renew a worker's lease and wait for its report.
     Hold(WorkerTarget, HoldOrder),
--- a/reachhead_jobs/src/pool/crash.rs
+++ b/reachhead_jobs/src/pool/crash.rs
@@ -44,7 +44,7 @@
 
 impl Pool {
     /// Removes a dead worker incarnation and all its runs.
-    pub fn worker_died(&mut self, id: &WorkerId, end: DeathEvidence, now: Tick) {
+    pub fn worker_died(&mut self, id: &WorkerId, evidence: DeathEvidence, now: Tick) {
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
@@ -53,7 +53,7 @@
         self.dead_incarnations.insert(id.clone(), worker.started_at);
         self.note(
             NoteKind::WorkerDoubted,
-            format!("worker={id} over=true why=\"{end}\" runs={}", worker.runs.len()),
+            format!("worker={id} over=true why=\"{evidence}\" runs={}", worker.runs.len()),
         );
         if !worker.runs.is_empty() {
             self.log_crash(&worker, now);
@@ -66,7 +66,7 @@
         // crash. Workers that end by planned work, or that are merely unreachable, did not crash
         // because of their tasks.
         let planned = worker.info.draining || worker.cordoned_until > now;
-        if end != DeathEvidence::OffList && !planned {
+        if evidence != DeathEvidence::OffList && !planned {
             for suspect in suspects.into_iter().chain(worker.crash_suspects) {
                 self.count_crash(suspect);
             }
@@ -80,30 +80,25 @@
             return vec![CrashSuspect { task: *task, role: CrashRole::Own }];
         }
         if !fresh.is_empty() {
-            let part = CrashRole::Fresh;
-            return fresh.into_iter().map(|task| CrashSuspect { task, role: part }).collect();
+            let role = CrashRole::Fresh;
+            return fresh.into_iter().map(|task| CrashSuspect { task, role }).collect();
         }
         // A long-running task that is up is best served by a restart, however often hosts fail.
         let is_short = |task: &&TaskId| !self.is_long_running(**task);
-        let part = CrashRole::Bystander;
-        worker
-            .runs
-            .keys()
-            .filter(is_short)
-            .map(|task| CrashSuspect { task: *task, role: part })
-            .collect()
+        let role = CrashRole::Bystander;
+        worker.runs.keys().filter(is_short).map(|task| CrashSuspect { task: *task, role }).collect()
     }
 
     /// Counts a crash against a task, and gives the task up if the crashes prove it to be the
     /// cause.
-    pub(super) fn count_crash(&mut self, CrashSuspect { task: id, role: part }: CrashSuspect) {
+    pub(super) fn count_crash(&mut self, CrashSuspect { task: id, role }: CrashSuspect) {
         let Some(job) = self.jobs.get_mut(&id.job).filter(|job| job.ending.is_none()) else {
             return;
         };
         let Some(task) = job.task(id).filter(|task| !task.done) else {
             return;
         };
-        task.crashes.record(part);
+        task.crashes.record(role);
         let Crashes { total, own, .. } = task.crashes;
         if task.crashes.is_conclusive() {
             self.note(NoteKind::TaskGivenUp, format!("task={id} crashes={total} own={own}"));
@@ -113,8 +108,9 @@
         }
     }
 
-    /// Ends the trial of a task that has made progress. A task that may crash its worker late is
-    /// tried until it is complete or [`MAX_LATE_TRIAL`] has passed.
+    /// Ends the trial of a task that has begun to work. A task that may crash its worker late stays
+    /// on trial until it reports 100 percent (a long-running task is then up) or [`MAX_LATE_TRIAL`]
+    /// has passed.
     pub(super) fn clear_trial(&mut self, id: &WorkerId, entry: &RunningEntry, age: Millis) {
         let job = self.jobs.get_mut(&entry.task.job);
         let is_late =
--- a/reachhead_jobs/src/pool/drain_worker.rs
+++ b/reachhead_jobs/src/pool/drain_worker.rs
@@ -1,5 +1,5 @@
 //! Draining a worker before planned work takes its host, within each step's disruption budget
-//! (`may_miss`).
+//! ([`max_unavailable`](crate::model::Step::max_unavailable)).
 
 use reachhead_types::{id::WorkerId, size::Millis};
 
@@ -37,7 +37,8 @@
 pub enum DrainProgress {
     /// The pool does not have the worker.
     Unknown,
-    /// It has a protected task that may not be disrupted yet.
+    /// It can't be taken yet: a protected task there may not be disrupted now, the pool needs the
+    /// worker, an end is not recorded, or a new owner does not know yet what runs there.
     Protected,
     /// It has only short tasks.
     Short,
--- a/reachhead_jobs/src/pool/expiring.rs
+++ b/reachhead_jobs/src/pool/expiring.rs
@@ -1,5 +1,5 @@
-//! Ordering of expiring jobs in a scheduling round: they come first within their share of the
-//! pool's capacity, and after jobs that can be in time beyond it.
+//! Ordering of expiring jobs in a scheduling round: within their budget of the pool's capacity they
+//! come first, and beyond it after jobs that can be in time.
 
 use reachhead_types::id::JobId;
 
@@ -14,14 +14,14 @@
 };
 
 impl Pool {
-    /// Moves expiring jobs that exceed their share of the capacity behind jobs that can be in time.
+    /// Moves expiring jobs that exceed their budget behind jobs that can be in time.
     pub(super) fn cap_expiring(&self, ranked: Vec<Ranked>, now: Tick) -> Vec<Ranked> {
         if !ranked.iter().any(|job| job.rank.class == Class::Expiring) {
             return ranked;
         }
-        let mut share = ExpiringBudget::new(self.usable_cores(now), self.late_cores());
+        let mut budget = ExpiringBudget::new(self.usable_cores(now), self.late_cores());
         let fits = |job: &Ranked| {
-            job.rank.class != Class::Expiring || share.take(self.waiting_cores(job.id))
+            job.rank.class != Class::Expiring || budget.take(self.waiting_cores(job.id))
         };
         let (mut first, after): (Vec<Ranked>, Vec<Ranked>) = ranked.into_iter().partition(fits);
         let before = |job: &Ranked| !job.rank.over_share && job.rank.class <= Class::InTime;
--- a/reachhead_jobs/src/pool/flush.rs
+++ b/reachhead_jobs/src/pool/flush.rs
@@ -170,9 +170,9 @@
     /// Lets workers drop the ends of a job that are recorded, and polls those workers at once.
     fn acknowledge_ends(&mut self, id: JobId, now: Tick) {
         for worker in self.workers.values_mut() {
-            let seen = worker.acknowledged;
+            let before = worker.acknowledged;
             worker.mark_recorded(id);
-            if worker.acknowledged > seen
+            if worker.acknowledged > before
                 && let Poll::Due(due) = worker.poll
             {
                 worker.poll = Poll::Due(due.min(now));
--- a/reachhead_jobs/src/pool/load.rs
+++ b/reachhead_jobs/src/pool/load.rs
@@ -211,6 +211,7 @@
         workers.map(|worker| worker.info.id.clone()).collect()
     }
 
+    /// Returns whether a task is long-running and has a run that is not being stopped.
     pub(super) fn is_long_running(&self, task: crate::task::TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|job| {
--- a/reachhead_jobs/src/pool/polls.rs
+++ b/reachhead_jobs/src/pool/polls.rs
@@ -52,8 +52,8 @@
                 .filter(|_| can_order && !worker.silent)
                 .map(|sample| WorkerTime(sample.estimate(now).0 + hold.0));
             // A restarted worker must not drop ends that reuse the numbers of earlier ones.
-            let seen = if worker.silent { 0 } else { worker.acknowledged };
-            let order = HoldOrder { deadline, acknowledged: seen, wait: self.poll_wait(worker) };
+            let acknowledged = if worker.silent { 0 } else { worker.acknowledged };
+            let order = HoldOrder { deadline, acknowledged, wait: self.poll_wait(worker) };
             actions.push(Action::Hold(self.target(worker), order));
         }
         for action in &actions {
@@ -126,9 +126,9 @@
             return;
         };
         let runs = worker.runs.clone();
-        let lapsed = self.crash_suspects(worker);
+        let suspects = self.crash_suspects(worker);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.crash_suspects = lapsed;
+            worker.crash_suspects = suspects;
         }
         self.note(NoteKind::RunLost, format!("worker={id} lapsed={}", runs.len()));
         for (task, charge) in runs {
--- a/reachhead_jobs/src/pool/reports.rs
+++ b/reachhead_jobs/src/pool/reports.rs
@@ -110,10 +110,10 @@
         worker.last_contact = now;
         worker.failed_calls = 0;
         worker.crash_suspects.clear();
-        let noted = worker.last_processed;
+        let processed = worker.last_processed;
         self.pending.remove(id);
         for entry in &report.ended {
-            if entry.number > noted {
+            if entry.number > processed {
                 self.apply_end(id, entry, now);
             }
         }
--- a/reachhead_jobs/src/pool/restarted_worker.rs
+++ b/reachhead_jobs/src/pool/restarted_worker.rs
@@ -79,11 +79,13 @@
     /// Processes a worker's first report. A predecessor may have mistaken a young incarnation for
     /// the previous one, and have extended its lease by the old clock.
     pub(super) fn apply_first_report(&mut self, id: &WorkerId, report: &WorkerReport, now: Tick) {
-        let (epoch, grant) = (self.wall_offset, self.timeouts.grant);
+        let (wall_offset, grant) = (self.wall_offset, self.timeouts.grant);
         let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.answered) else {
             return;
         };
-        let age = report.started_at.map(|born| Millis((epoch.0 + now.0).saturating_sub(born.0)));
+        let age = report
+            .started_at
+            .map(|started| Millis((wall_offset.0 + now.0).saturating_sub(started.0)));
         if age.is_some_and(|age| age < YOUNG_INCARNATION_AGE) {
             worker.max_deadline = worker.max_deadline.max(WorkerTime(report.clock.0 + grant.0));
         }
--- a/reachhead_jobs/src/quota/ledger.rs
+++ b/reachhead_jobs/src/quota/ledger.rs
@@ -27,7 +27,7 @@
     /// Last reported usage, and the round that it answered.
     reported: BTreeMap<CustomerName, CustomerUsage>,
     last_round: u64,
-    /// Since when the limit of a customer there has left no room for its next task.
+    /// Since when the limit of a customer there has not sufficed for its next task.
     waiting: BTreeMap<CustomerName, Tick>,
 }
 
@@ -191,9 +191,9 @@
             let reported = reported.unwrap_or_default().masked_by(quota.0);
             // While more is held than a lowered quota allows, no limit rises, not even to a pool's
             // current usage.
-            let most =
+            let max_limit =
                 if all.fits(quota.0) || is_only_holder { held.plus(raise) } else { reported };
-            let limit = wanted.least(most);
+            let limit = wanted.least(max_limit);
             if reported != limit {
                 account.held.insert(customer.clone(), held.max(limit));
                 changed.push((pool, limit));
--- a/reachhead_jobs/src/quota/mod.rs
+++ b/reachhead_jobs/src/quota/mod.rs
@@ -72,7 +72,7 @@
         self.limit.max(self.used)
     }
 
-    /// Returns whether a task waits because the limit leaves no room for it.
+    /// Returns whether a task waits because the limit does not suffice for it.
     pub fn is_throttled(&self) -> bool {
         self.next != Amount::default() && !self.used.plus(self.next).fits(self.limit)
     }
--- a/reachhead_jobs/src/quota/share.rs
+++ b/reachhead_jobs/src/quota/share.rs
@@ -13,7 +13,7 @@
     pub wanted: Amount,
     /// Resources of the next such task.
     pub next: Amount,
-    /// Since when the limit has left no room for that task.
+    /// Since when the limit has not sufficed for that task.
     pub waiting_since: Option<Tick>,
 }
 
@@ -34,7 +34,7 @@
     shares
 }
 
-/// Gives room for whole tasks, to the pool that has waited longest first, and returns what is left.
+/// Adds quota for whole tasks, to the pool that has waited longest first, and returns what is left.
 /// A quota divided into parts that are each too small for a task would be of no use to anyone.
 fn give_tasks(shares: &mut [Amount], claims: &[Claim], left: Amount) -> Amount {
     let mut left = left;
--- a/reachhead_jobs/src/record.rs
+++ b/reachhead_jobs/src/record.rs
@@ -178,8 +178,8 @@
     #[serde(default)]
     pub settled: bool,
     /// For a lease that was released otherwise: how long a run that an earlier owner started may
-    /// still be active on a worker that has not answered. If a release did not write it, the
-    /// successor waits as long as for an owner that may be alive.
+    /// still be active on a worker that has not answered. Earlier versions of the program did not
+    /// write it; then the successor waits as long as for an owner that may be alive.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "open")]
     pub unsettled_for: Option<Millis>,
--- a/reachhead_jobs/src/worker.rs
+++ b/reachhead_jobs/src/worker.rs
@@ -18,8 +18,8 @@
 /// Consecutive failures, in more than one job, after which a worker is suspected.
 const MIN_SUSPECT_FAILURES: u32 = 3;
 
-/// How long a suspected worker gets no tasks. It covers most grey failures of some seconds, and a
-/// wrong suspicion costs a pool little for that long.
+/// How long a suspected worker gets no tasks. It covers most of a grey failure that lasts some
+/// seconds, and a wrong suspicion costs a pool little for that long.
 const SUSPENSION: Millis = Millis(5000);
 
 /// How late an unanswered order may still be carried out.
@@ -220,7 +220,7 @@
 pub struct LostOrder {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub run: RunNumber,
     /// When the answer was found to be lost.
     pub at: Tick,
@@ -291,7 +291,7 @@
     }
 
     /// Records that a new incarnation answers. A late call to the previous one would tell it to
-    /// forget ends that nobody has read, so the worker gets nothing until no such call can arrive.
+    /// forget ends that no owner has read, so the worker gets nothing until no such call can arrive.
     pub fn begin_incarnation(&mut self, at: Tick) {
         self.restarted_at = Some(at);
         self.suspend_until_calls_expire();
--- a/reachhead_jobs/tests/authority.rs
+++ b/reachhead_jobs/tests/authority.rs
@@ -27,7 +27,8 @@
     }
 }
 
-const DUTY: Millis = Millis(3000);
+/// Lease duration, within which only one of two alternating holders may give orders.
+const LEASE_DURATION: Millis = Millis(3000);
 
 /// Returns a previous holder whose lease this process found at its start.
 fn found(record: &LeaseRecord) -> PreviousHolder<'_> {
@@ -41,7 +42,7 @@
 }
 
 fn overlap(previous: PreviousHolder<'_>) -> Millis {
-    previous.takeover_wait(Tick(50_000), DUTY, false)
+    previous.takeover_wait(Tick(50_000), LEASE_DURATION, false)
 }
 
 #[test]
@@ -79,21 +80,22 @@
         "it was restarted"
     );
     assert_eq!(
-        found(&held).takeover_wait(Tick(50_000), DUTY, true),
+        found(&held).takeover_wait(Tick(50_000), LEASE_DURATION, true),
         Millis(0),
         "tokens are checked"
     );
 }
 
-/// All processes lose power and come back: moves of hosts must not wait while jobs do.
+/// After a power loss of all processes, the fleet owner must not delay moves of hosts for which jobs
+/// wait.
 #[test]
 fn a_restarted_process_does_not_wait_for_a_lease_of_unknown_age() {
     let held = lease(Some("n"));
     let soon = Tick(10_300);
-    assert_eq!(found(&held).takeover_wait(soon, DUTY, true), Millis(0));
+    assert_eq!(found(&held).takeover_wait(soon, LEASE_DURATION, true), Millis(0));
     let observed = PreviousHolder { observed: true, ..found(&held) };
     assert_eq!(
-        observed.takeover_wait(soon, DUTY, true),
+        observed.takeover_wait(soon, LEASE_DURATION, true),
         Millis(2700),
         "holders must not take turns"
     );
--- a/reachhead_jobs/tests/pool/balance.rs
+++ b/reachhead_jobs/tests/pool/balance.rs
@@ -27,7 +27,7 @@
 
 #[derive(Default)]
 struct Fleet {
-    machines: BTreeMap<HostId, PlatformHost>,
+    hosts: BTreeMap<HostId, PlatformHost>,
     pools: BTreeMap<PoolName, PoolState>,
     balance: Balance,
     drained: BTreeSet<ZoneName>,
@@ -47,9 +47,9 @@
             let worker = Some(load.workers[number].worker.clone());
             let state = PlatformHostState::Up;
             let zone = Some(zone(number));
-            let machine =
+            let platform_host =
                 PlatformHost { host: host.clone(), pool: pool.clone(), zone, state, worker };
-            self.machines.insert(host, machine);
+            self.hosts.insert(host, platform_host);
         }
         self.pools.insert(pool, PoolState { load, spare: name == "off" });
         self
@@ -62,13 +62,9 @@
     /// Drains a zone, and marks its workers as drained in all pools.
     fn drain(&mut self, name: &str) {
         let drained: ZoneName = name.parse().unwrap();
-        let of_zone = |machine: &&PlatformHost| machine.zone.as_ref() == Some(&drained);
-        let workers: BTreeSet<_> = self
-            .machines
-            .values()
-            .filter(of_zone)
-            .filter_map(|machine| machine.worker.clone())
-            .collect();
+        let of_zone = |host: &&PlatformHost| host.zone.as_ref() == Some(&drained);
+        let workers: BTreeSet<_> =
+            self.hosts.values().filter(of_zone).filter_map(|host| host.worker.clone()).collect();
         for state in self.pools.values_mut() {
             for load in &mut state.load.workers {
                 load.drained = workers.contains(&load.worker);
@@ -79,25 +75,18 @@
 
     fn round(&mut self, millis: u64) -> Vec<Move> {
         self.now = self.now + Millis(millis);
-        self.balance.next(
-            &self.machines,
-            &self.pools,
-            &self.drained,
-            self.rate,
-            |_| false,
-            self.now,
-        )
+        self.balance.next(&self.hosts, &self.pools, &self.drained, self.rate, |_| false, self.now)
     }
 
     /// Applies moves as the platform does.
     fn apply(&mut self, moves: &[Move]) {
         for step in moves {
-            let machine = self.machines.get_mut(&step.host).unwrap();
-            machine.pool = step.to.clone();
+            let host = self.hosts.get_mut(&step.host).unwrap();
+            host.pool = step.to.clone();
             let from = self.pools.get_mut(&step.from).unwrap();
-            from.load.workers.retain(|load| Some(&load.worker) != machine.worker.as_ref());
+            from.load.workers.retain(|load| Some(&load.worker) != host.worker.as_ref());
             let to = self.pools.get_mut(&step.to).unwrap();
-            to.load.workers.push(idle_worker(machine.worker.clone().unwrap()));
+            to.load.workers.push(idle_worker(host.worker.clone().unwrap()));
         }
     }
 }
--- a/reachhead_jobs/tests/pool/expiring_budget.rs
+++ b/reachhead_jobs/tests/pool/expiring_budget.rs
@@ -26,7 +26,7 @@
 }
 
 /// A pool whose simulated workers carry out their orders.
-struct Site {
+struct SimulatedPool {
     fixture: Fixture,
     running: BTreeMap<TaskId, Running>,
     submitted: BTreeMap<u64, Tick>,
@@ -34,7 +34,7 @@
     durations: BTreeMap<u64, Millis>,
 }
 
-impl Site {
+impl SimulatedPool {
     fn new(cores: u64) -> Self {
         let fixture = Fixture::ready(vec![info("a", cores)]);
         Self {
@@ -80,46 +80,46 @@
 /// is 2.6 s.
 #[test]
 fn the_first_jobs_of_a_burst_end_before_they_expire() {
-    let mut site = Site::new(8);
+    let mut simulation = SimulatedPool::new(8);
     for id in 1..=20 {
-        site.submit(id);
+        simulation.submit(id);
     }
     let mut next = 21;
     for round in 0..200 {
-        site.round();
+        simulation.round();
         if round % 5 < 2 {
-            site.submit(next);
+            simulation.submit(next);
             next += 1;
         }
     }
     let bound = Millis(3 * 2600 + ROUND_MS);
     for id in 1..=20 {
-        let took = site.durations.get(&id);
+        let took = simulation.durations.get(&id);
         assert!(took.is_some_and(|took| *took <= bound), "job {id} took {took:?}");
     }
     let others: Vec<u64> = (21..next - 24).collect();
     let in_time =
-        others.iter().filter(|id| site.durations.get(id).is_some_and(|t| *t <= Millis(2700)));
+        others.iter().filter(|id| simulation.durations.get(id).is_some_and(|t| *t <= Millis(2700)));
     let count = in_time.count();
     assert!(count * 10 >= others.len() * 8, "{count} of {} in time", others.len());
 }
 
-/// Under permanent overload late jobs get their share and no more, so most arriving jobs are in
+/// Under permanent overload late jobs get their budget and no more, so most arriving jobs are in
 /// time.
 #[test]
 fn late_jobs_do_not_make_later_jobs_late() {
-    let mut site = Site::new(8);
+    let mut simulation = SimulatedPool::new(8);
     for id in 1..=80 {
-        site.submit(id);
+        simulation.submit(id);
     }
     for id in 1000..1200 {
-        site.round();
+        simulation.round();
         if id < 1060 {
-            site.submit(id);
+            simulation.submit(id);
         }
     }
     let in_time =
-        (1000..1060).filter(|id| site.durations.get(id).is_some_and(|t| *t <= Millis(2700)));
+        (1000..1060).filter(|id| simulation.durations.get(id).is_some_and(|t| *t <= Millis(2700)));
     let count = in_time.count();
     assert!(
         count >= 18,
@@ -129,9 +129,9 @@
 
 #[test]
 fn the_last_late_job_may_exceed_the_budget() {
-    let mut share = ExpiringBudget::new(16_000, 1000);
-    assert!(share.take(2500));
-    assert!(share.take(9000), "a job wider than the rest of the share still fits");
-    assert!(!share.take(100));
+    let mut budget = ExpiringBudget::new(16_000, 1000);
+    assert!(budget.take(2500));
+    assert!(budget.take(9000), "a job larger than the rest of the budget still fits");
+    assert!(!budget.take(100));
     assert!(!ExpiringBudget::new(16_000, 4000).take(100));
 }
--- a/reachhead_jobs/tests/pool/fixture.rs
+++ b/reachhead_jobs/tests/pool/fixture.rs
@@ -89,8 +89,8 @@
     }
 }
 
-/// Returns the state that an owner recovers: jobs, keyed by the revisions of their rows, and a
-/// roster of workers with the revision at which each was closed.
+/// Returns the state that an owner recovers: jobs by id, which is also the revision of the row, and
+/// a roster of workers with the revision at which each was closed.
 pub fn recovered(jobs: Vec<(u64, Vec<Step>)>, roster: Vec<(&str, Option<u64>)>) -> RecoveredState {
     let stored = |(id, steps)| StoredJob {
         id: JobId(id),
--- a/reachhead_jobs/tests/pool/load.rs
+++ b/reachhead_jobs/tests/pool/load.rs
@@ -64,9 +64,9 @@
 #[test]
 fn a_wrong_estimate_is_corrected_once_tasks_have_ended() {
     let mut fixture = Fixture::ready(vec![info("a", 64)]);
-    let guessed = || vec![Step { estimate: Millis(10_000), ..step(1) }];
+    let wrongly_estimated = || vec![Step { estimate: Millis(10_000), ..step(1) }];
     for id in 1..=10 {
-        fixture.submit_and_start(id, guessed());
+        fixture.submit_and_start(id, wrongly_estimated());
         fixture.advance(1000);
         fixture.end(&worker("a"), task(id, 0, 0), 1, RunEnd::Done);
         fixture.report(&worker("a"));
@@ -74,7 +74,7 @@
     }
     fixture.advance(4000);
     for id in 11..=18 {
-        fixture.submit_and_start(id, guessed());
+        fixture.submit_and_start(id, wrongly_estimated());
         fixture.advance(90);
     }
     let need = fixture.pool.load(fixture.now).need;
--- a/reachhead_jobs/tests/pool/pace.rs
+++ b/reachhead_jobs/tests/pool/pace.rs
@@ -8,10 +8,10 @@
 /// Returns a pool with one worker that runs a latency-sensitive and a best-effort task.
 fn shared_worker() -> Fixture {
     let mut fixture = Fixture::ready(vec![info("w", 4)]);
-    let serves = Step { long_running: true, target: Millis(100), ..step(1) };
-    let fills = Step { long_running: true, best_effort: true, ..step(1) };
-    fixture.submit(1, vec![serves]);
-    fixture.submit(2, vec![fills]);
+    let latency_sensitive = Step { long_running: true, target: Millis(100), ..step(1) };
+    let best_effort = Step { long_running: true, best_effort: true, ..step(1) };
+    fixture.submit(1, vec![latency_sensitive]);
+    fixture.submit(2, vec![best_effort]);
     for (id, order) in fixture.starts() {
         fixture.accept(&id, &order);
     }
--- a/reachhead_jobs/tests/pool/quota.rs
+++ b/reachhead_jobs/tests/pool/quota.rs
@@ -77,11 +77,11 @@
     allot(&mut fixture, 1, 3);
     let mut left = 7;
     while left > 0 {
-        let wave = start_all(&mut fixture);
-        assert!(!wave.is_empty() && wave.len() <= 3, "{wave:?}");
+        let started = start_all(&mut fixture);
+        assert!(!started.is_empty() && started.len() <= 3, "{started:?}");
         assert_eq!(start_all(&mut fixture), [], "the limit is reached");
-        left -= wave.len();
-        for (name, task) in &wave {
+        left -= started.len();
+        for (name, task) in &started {
             fixture.end(name, *task, 1, RunEnd::Done);
         }
         for name in ["w1", "w2"] {
--- a/reachhead_jobs/tests/pool/records.rs
+++ b/reachhead_jobs/tests/pool/records.rs
@@ -84,8 +84,8 @@
     let own = batch.txn.checks.iter().find(|check| check.key.0.starts_with("progress/")).unwrap();
     let conflict = Conflict { key: own.key.clone(), row: None };
     assert!(fixture.pool.decided(&batch, &Commit::Conflict(vec![conflict]), fixture.now));
-    let lease = batch.txn.checks.iter().find(|check| check.key.0.starts_with("fence/")).unwrap();
-    let conflict = Conflict { key: lease.key.clone(), row: None };
+    let fence = batch.txn.checks.iter().find(|check| check.key.0.starts_with("fence/")).unwrap();
+    let conflict = Conflict { key: fence.key.clone(), row: None };
     assert!(!fixture.pool.decided(&batch, &Commit::Conflict(vec![conflict]), fixture.now));
     assert!(fixture.poll().contains(&Action::Fenced));
 }
@@ -123,18 +123,18 @@
         .iter()
         .map(|due| fixture.pool.batch(due.lane, Millis(fixture.now.0)).unwrap())
         .collect();
-    let seen = |fixture: &Fixture| fixture.pool.workers()[&worker("w")].acknowledged;
+    let acknowledged = |fixture: &Fixture| fixture.pool.workers()[&worker("w")].acknowledged;
     fixture.pool.decided(&batches[1], &Commit::Done(Revision(200)), fixture.now);
-    assert_eq!(seen(&fixture), 0, "the first end is not recorded");
+    assert_eq!(acknowledged(&fixture), 0, "the first end is not recorded");
     fixture.pool.decided(&batches[0], &Commit::Done(Revision(201)), fixture.now);
-    assert_eq!(seen(&fixture), 2);
+    assert_eq!(acknowledged(&fixture), 2);
     fixture.end(&worker("w"), task(2, 0, 1), 1, RunEnd::Done);
     fixture.end(&worker("w"), task(1, 0, 1), 1, RunEnd::Done);
     fixture.report(&worker("w"));
     let lane = fixture.pool.due().into_iter().find(|due| due.lane == batches[1].lane).unwrap().lane;
     let batch = fixture.pool.batch(lane, Millis(fixture.now.0)).unwrap();
     fixture.pool.decided(&batch, &Commit::Done(Revision(202)), fixture.now);
-    assert_eq!(seen(&fixture), 3, "up to the first unrecorded end");
+    assert_eq!(acknowledged(&fixture), 3, "up to the first unrecorded end");
 }
 
 #[test]
--- a/reachhead_jobs/tests/pool/recover.rs
+++ b/reachhead_jobs/tests/pool/recover.rs
@@ -197,14 +197,14 @@
         state: PlatformHostState::Up,
         worker: Some(worker(id)),
     };
-    let machines = |id: &str| BTreeMap::from([("m".parse().unwrap(), host(id))]);
+    let hosts = |id: &str| BTreeMap::from([("m".parse().unwrap(), host(id))]);
     assert_eq!(
-        dead_workers::dead_workers(&unreachable, &machines("v")).count(),
+        dead_workers::dead_workers(&unreachable, &hosts("v")).count(),
         0,
         "its host still has it"
     );
     let dead: Vec<&UnreachableWorker> =
-        dead_workers::dead_workers(&unreachable, &machines("another")).collect();
+        dead_workers::dead_workers(&unreachable, &hosts("another")).collect();
     assert_eq!(dead.len(), 1);
     fixture.pool.worker_died(&dead[0].worker, DeathEvidence::Unhosted, fixture.now);
     assert_eq!(fixture.starts().len(), 1);
@@ -238,18 +238,18 @@
     assert_eq!(fixture.pool.remaining_takeover_delay(fixture.now), full_delay);
     fixture.advance(3000);
     fixture.poll();
-    let open = fixture.pool.remaining_takeover_delay(fixture.now);
-    assert_eq!(open, Millis(full_delay.0 - 3000));
-    let record = |settled, open| LeaseRecord {
+    let remaining = fixture.pool.remaining_takeover_delay(fixture.now);
+    assert_eq!(remaining, Millis(full_delay.0 - 3000));
+    let record = |settled, unsettled_for| LeaseRecord {
         owner: None,
         address: None,
         term: 1,
         settled,
-        unsettled_for: open,
+        unsettled_for,
     };
-    assert_eq!(timeouts().after_release(&record(false, Some(open))), open);
+    assert_eq!(timeouts().after_release(&record(false, Some(remaining))), remaining);
     let leases = timeouts().after_release(&record(true, Some(Millis(0))));
-    assert!(leases < open);
+    assert!(leases < remaining);
     assert_eq!(
         timeouts().after_release(&record(false, Some(Millis(10)))),
         leases,
--- a/reachhead_jobs/tests/pool/restarted_worker.rs
+++ b/reachhead_jobs/tests/pool/restarted_worker.rs
@@ -21,8 +21,8 @@
     fixture
 }
 
-fn set_started_at(fixture: &mut Fixture, born: u64) {
-    fixture.infos[0].started_at = Some(Millis(born));
+fn set_started_at(fixture: &mut Fixture, started_at: u64) {
+    fixture.infos[0].started_at = Some(Millis(started_at));
 }
 
 /// Restarts the worker before its crash is noticed.
--- a/reachhead_jobs/tests/quota/main.rs
+++ b/reachhead_jobs/tests/quota/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the quota ledger and the owners of pools over an unreliable network, with ownership
-//! changes.
+//! Tests of the quota ledger and the owners of pools over a network that loses, repeats and delays
+//! messages, while owners and the ledger's process are replaced.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
@@ -16,8 +16,10 @@
 
 use self::simulation::{POOLS, Simulation, customer, customers, pool};
 
-/// Number of random schedules, and steps of each.
+/// Number of random schedules.
 const SCHEDULES: u64 = 400;
+
+/// Number of steps in a schedule.
 const STEPS: u32 = 600;
 
 #[test]
--- a/reachhead_jobs/tests/random_schedules/main.rs
+++ b/reachhead_jobs/tests/random_schedules/main.rs
@@ -48,8 +48,8 @@
 }
 
 /// Workers restart under their ids, and orders for the previous incarnation arrive at the new one.
-/// Guards against mistaking the new incarnation for the previous one: it was told to forget ends
-/// that nobody had read, and its first ends counted as known.
+/// Guards against mistaking the new incarnation for the previous one: ends that no owner
+/// had read were acknowledged to it, and its first ends counted as known.
 #[test]
 fn no_task_runs_twice_or_is_lost_when_workers_restart_under_their_ids() {
     fn run(acts: Vec<(u8, u8, u8)>) -> bool {
--- a/reachhead_jobs/tests/random_schedules/simulation.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation.rs
@@ -286,11 +286,11 @@
     }
 
     /// Performs one random act.
-    pub fn act(&mut self, (kind, what, time): (u8, u8, u8)) {
+    pub fn act(&mut self, (kind, choice, time): (u8, u8, u8)) {
         let span = u64::from(time) * 20;
         match kind % 14 {
-            0..=3 => self.submit(what),
-            4 => self.cancel(what),
+            0..=3 => self.submit(choice),
+            4 => self.cancel(choice),
             5 => {
                 self.newest().alive = false;
                 self.run(span / 4);
@@ -310,27 +310,27 @@
             }
             8 => {
                 let until = self.now + span;
-                if let Some(id) = self.pick(what) {
+                if let Some(id) = self.pick(choice) {
                     self.newest().workers_cut.insert(id, until);
                 }
             }
             9 => {
-                if let Some(id) = self.pick(what) {
+                if let Some(id) = self.pick(choice) {
                     self.crash(&id);
                     if self.restarting { self.restart(id) } else { self.add_worker() }
                 }
             }
-            10 => self.lose_next = what % 8,
-            11 => self.delay_next = what % 8,
-            12 => self.drain_and_take(what),
-            _ => self.take_over_partially(usize::from(what % 4), 40 + span / 4),
+            10 => self.lose_next = choice % 8,
+            11 => self.delay_next = choice % 8,
+            12 => self.drain_and_take(choice),
+            _ => self.take_over_partially(usize::from(choice % 4), 40 + span / 4),
         }
         self.run(span % 700);
     }
 
-    fn pick(&self, what: u8) -> Option<WorkerId> {
+    fn pick(&self, choice: u8) -> Option<WorkerId> {
         let ids: Vec<&WorkerId> = self.workers.keys().collect();
-        ids.get(what as usize % ids.len().max(1)).map(|id| (*id).clone())
+        ids.get(choice as usize % ids.len().max(1)).map(|id| (*id).clone())
     }
 
     fn crash(&mut self, id: &WorkerId) {
@@ -345,8 +345,8 @@
     }
 
     /// Takes a worker for planned work if the owner reports that nothing protected is there.
-    fn drain_and_take(&mut self, what: u8) {
-        let Some(id) = self.pick(what) else { return };
+    fn drain_and_take(&mut self, choice: u8) {
+        let Some(id) = self.pick(choice) else { return };
         let now = Tick(self.now);
         let owner = self.newest();
         if owner.alive && owner.paused_until <= now.0 {
@@ -354,7 +354,7 @@
             if matches!(progress, DrainProgress::Empty | DrainProgress::Unknown) {
                 if self.workers[&id].running.keys().any(|task| self.is_long_running(task)) {
                     self.violations
-                        .push(format!("{id} is said to be empty, and a protected task is there"));
+                        .push(format!("{id} is reported as drained but has a protected task"));
                 }
                 self.crash(&id);
                 self.add_worker();
@@ -388,9 +388,9 @@
         }
     }
 
-    fn cancel(&mut self, what: u8) {
+    fn cancel(&mut self, choice: u8) {
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
-        if let Some(id) = open.get(what as usize % open.len().max(1)).copied() {
+        if let Some(id) = open.get(choice as usize % open.len().max(1)).copied() {
             let now = self.now;
             let owner = self.newest();
             if owner.alive && owner.paused_until <= now {
--- a/reachhead_jobs/tests/random_schedules/simulation/invariants.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/invariants.rs
@@ -22,7 +22,7 @@
             let highest = self.fenced.entry(shard).or_default();
             if token < *highest {
                 self.violations
-                    .push(format!("the fence of part {shard} went from {highest} to {token}"));
+                    .push(format!("the fence of shard {shard} went from {highest} to {token}"));
             }
             *highest = token.max(*highest);
         }
--- a/reachhead_jobs/tests/random_schedules/simulation/takeover.rs
+++ b/reachhead_jobs/tests/random_schedules/simulation/takeover.rs
@@ -100,13 +100,13 @@
         }
     }
 
-    /// Lets a process begin a takeover that is interrupted between two shards. The fence
-    /// transaction that it had just sent arrives much later. Another process takes over meanwhile,
-    /// and then the interrupted one continues.
-    pub(super) fn take_over_partially(&mut self, parts: usize, delay: u64) {
+    /// Lets a process begin a takeover and pauses it after it has raised the fences of
+    /// `raised_shards` shards. The fence transaction that it had just sent arrives `delay`
+    /// milliseconds later. Another process takes over meanwhile, and then the paused one continues.
+    pub(super) fn take_over_partially(&mut self, raised_shards: usize, delay: u64) {
         let (token, _) = self.take_lease();
         let mut shards = Shard::all();
-        for shard in shards.by_ref().take(parts) {
+        for shard in shards.by_ref().take(raised_shards) {
             self.raise(token, shard);
         }
         let paused = shards.clone();
