--- a/reachhead_jobs/src/balance/scale_down.rs
+++ b/reachhead_jobs/src/balance/scale_down.rs
@@ -202,7 +202,7 @@
 
 /// Returns the cost of switching an idle host off and on again, as time of a host. Each such move
 /// delays another that some burst needs, so its cost is the time that the platform needs to move
-/// all hosts, shared by them. The cost counts as zero if that time is no longer than [`MIN_IDLE`],
+/// all hosts, shared by them. The cost counts as zero if that time is no longer than `MIN_IDLE`,
 /// for which hosts are left on anyway. `rate` is the number of orders a second that the platform
 /// accepts.
 pub fn restart_cost(hosts: usize, rate: f64) -> Millis {
--- a/reachhead_jobs/src/order.rs
+++ b/reachhead_jobs/src/order.rs
@@ -16,13 +16,14 @@
 /// Observations after which a queue's learned predictors replace the client's estimate.
 const MIN_OBSERVATIONS: u32 = 8;
 
-/// Lateness, in multiples of a job's objective, beyond which its caller has given up.
+/// Time from acceptance to the end of a job, in multiples of its objective, beyond which its caller
+/// is assumed to have given up.
 const ABANDON_FACTOR: u64 = 3;
 
 /// Time before the caller gives up in which a late job counts as expiring, in multiples of its
-/// objective. A job turns late after one objective; for another one it queues behind all jobs that
-/// can be in time, and the remaining one is the time in which the budget of expiring jobs has to
-/// suffice.
+/// objective. A job turns late one objective after its acceptance. Up to two objectives it queues
+/// behind all jobs that can be in time. From then until its caller gives up, at three, it is
+/// expiring, and the budget of expiring jobs has to suffice in that time.
 const EXPIRING_FACTOR: u64 = 1;
 
 /// Observed durations of a queue's tasks.
--- a/reachhead_jobs/src/pool/mod.rs
+++ b/reachhead_jobs/src/pool/mod.rs
@@ -118,10 +118,13 @@
 pub struct Pool {
     name: PoolName,
     token: FencingToken,
+    /// Revisions of the shards' fences after this owner raised them.
     fences: BTreeMap<Shard, Revision>,
+    /// Number of ownership changes before this owner; run numbers derive from it.
     term: u64,
     timeouts: PoolTimeouts,
     jobs: BTreeMap<JobId, Job>,
+    /// Ended jobs whose state is still answered from memory.
     closed: BTreeMap<JobId, ClosedJob>,
     workers: BTreeMap<WorkerId, Worker>,
     /// The predecessor's workers that have not answered this owner yet.
@@ -139,6 +142,7 @@
     /// When the last of the predecessor's workers answered or expired.
     all_answered_at: Option<Tick>,
     roster: roster::RosterState,
+    /// Jobs with changes to write to the store.
     dirty: BTreeSet<JobId>,
     refusals: refusal::Refusals,
     /// Worker incarnations known to be dead even if the platform still lists them, with their start
@@ -155,6 +159,7 @@
     review: bool,
     /// When runs are reviewed next even without an event.
     next_review: Tick,
+    /// When this owner's lease was last confirmed.
     verified: Tick,
     /// Time of day at which the monotonic clock read zero.
     wall_offset: Millis,
@@ -182,6 +187,7 @@
 
 impl Pool {
     /// Creates the pool `name` for the owner that holds `token`, from the state found in the store.
+    /// `wall` is the time of day in milliseconds since 1970.
     pub fn new(
         name: PoolName,
         token: FencingToken,
--- a/reachhead_jobs/src/pool/recovered_state.rs
+++ b/reachhead_jobs/src/pool/recovered_state.rs
@@ -44,6 +44,7 @@
     pub fences: BTreeMap<Shard, Revision>,
     /// When the lease was last confirmed; reading the rest may have taken long.
     pub verified: Tick,
-    /// How long orders of the predecessor may still take effect on workers that do not answer.
+    /// How long orders of the predecessor may still take effect on workers that do not answer; see
+    /// [`PoolTimeouts::takeover_delay`](crate::pool::PoolTimeouts::takeover_delay).
     pub effect: Millis,
 }
--- a/reachhead_jobs/src/pool/starts.rs
+++ b/reachhead_jobs/src/pool/starts.rs
@@ -27,7 +27,7 @@
 /// How long capacity is reserved for a long-running task while short tasks are stopped there.
 const RESERVATION_DURATION: Millis = Millis(1500);
 
-/// Number of steps without a place after which a scheduling round ends.
+/// Number of steps with an unplaced task beyond which a scheduling round ends.
 const MAX_UNPLACED_STEPS: usize = 24;
 
 /// A job and its rank in the scheduling order.
--- a/reachhead_jobs/src/ports/worker.rs
+++ b/reachhead_jobs/src/ports/worker.rs
@@ -194,7 +194,7 @@
         order: StartOrder,
     ) -> BoxFuture<'_, Result<WorkerTime, WorkerError>>;
 
-    /// Stops a run and prevents it from ever starting there.
+    /// Stops a run and bars it: it can never start there again, even if a late start order arrives.
     ///
     /// # Errors
     ///
--- a/reachhead_jobs/tests/authority.rs
+++ b/reachhead_jobs/tests/authority.rs
@@ -71,18 +71,22 @@
     let whole = with_drift(ORDER_WINDOW);
     let denied = |at| PreviousHolder { disclaimed_at: Some(Tick(at)), ..found(&held) };
     assert_eq!(overlap(found(&held)), whole);
-    assert_eq!(overlap(found(&returned)), Millis(0), "it gave the lease back");
-    assert_eq!(overlap(denied(15_000)), Millis(0), "it answers and holds nothing");
-    assert_eq!(overlap(denied(10_040)), whole, "it may not have begun yet");
+    assert_eq!(overlap(found(&returned)), Millis(0), "the holder released the lease");
+    assert_eq!(
+        overlap(denied(15_000)),
+        Millis(0),
+        "the holder denies holding the lease long after it took it"
+    );
+    assert_eq!(overlap(denied(10_040)), whole, "the holder may not have started its work yet");
     assert_eq!(
         overlap(PreviousHolder { is_self: true, ..found(&held) }),
         Millis(0),
-        "it was restarted"
+        "the holder was this process before a restart"
     );
     assert_eq!(
         found(&held).takeover_wait(Tick(50_000), LEASE_DURATION, true),
         Millis(0),
-        "tokens are checked"
+        "the platform checks tokens"
     );
 }
 
@@ -97,7 +101,7 @@
     assert_eq!(
         observed.takeover_wait(soon, LEASE_DURATION, true),
         Millis(2700),
-        "holders must not take turns"
+        "holders must not alternate within one lease duration"
     );
 }
 
--- a/reachhead_jobs/tests/liveness.rs
+++ b/reachhead_jobs/tests/liveness.rs
@@ -11,10 +11,10 @@
 
 #[test]
 fn an_owner_with_failing_calls_is_replaced_sooner_than_an_idle_one() {
-    assert!(cut_off(1000, true, LONG), "it is turned away");
-    assert!(!cut_off(1000, false, LONG), "it may only be idle");
+    assert!(cut_off(1000, true, LONG), "the store turns the owner away");
+    assert!(!cut_off(1000, false, LONG), "the owner may only be idle");
     assert!(cut_off(1900, false, LONG));
-    assert!(!cut_off(800, true, LONG), "a single failed call");
+    assert!(!cut_off(800, true, LONG), "a single failed call is not enough");
 }
 
 #[test]
--- a/reachhead_jobs/tests/pool/balance.rs
+++ b/reachhead_jobs/tests/pool/balance.rs
@@ -188,7 +188,7 @@
     let mut fleet = Fleet::default().with_pool("a", 5, 4 * CORES).with_pool("off", 5, 0);
     assert!(fleet.round(100).is_empty());
     fleet.load("a").workers.truncate(3);
-    assert!(fleet.round(100).is_empty(), "it may come back");
+    assert!(fleet.round(100).is_empty(), "the workers may come back");
     assert!(fleet.round(1400).is_empty());
     let moves = fleet.round(200);
     assert_eq!(moves.len(), 2, "{moves:?}");
--- a/reachhead_jobs/tests/pool/crash.rs
+++ b/reachhead_jobs/tests/pool/crash.rs
@@ -333,7 +333,7 @@
         fixture.advance(100);
         fixture.report(&second);
     }
-    assert_eq!(fixture.starts().len(), 1, "it has done no harm for three seconds");
+    assert_eq!(fixture.starts().len(), 1, "the trial ends after three seconds without a crash");
 }
 
 #[test]
--- a/reachhead_jobs/tests/pool/drain.rs
+++ b/reachhead_jobs/tests/pool/drain.rs
@@ -55,7 +55,10 @@
     assert_eq!(starts[0].0, worker("b1"));
     drain(&mut fixture, &[]);
     let starts = fixture.starts();
-    assert!(starts.iter().any(|(id, _)| *id == worker("a1")), "it is used again: {starts:?}");
+    assert!(
+        starts.iter().any(|(id, _)| *id == worker("a1")),
+        "workers of the zone are used again: {starts:?}"
+    );
 }
 
 /// A worker that registers during the drain, or that a new owner contacts first, is treated as any
--- a/reachhead_jobs/tests/pool/main.rs
+++ b/reachhead_jobs/tests/pool/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the pool owner's state machine, most of them regressions of single faults.
+//! Tests of the pool owner's state machine; most of them guard against the return of one fault each.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on has failed")]
 
--- a/reachhead_jobs/tests/pool/recover.rs
+++ b/reachhead_jobs/tests/pool/recover.rs
@@ -82,7 +82,10 @@
     fixture.report(&worker("v"));
     fixture.advance(50);
     fixture.poll();
-    assert!(fixture.batch().is_some(), "it is recorded again before a task is started there");
+    assert!(
+        fixture.batch().is_some(),
+        "the worker is recorded again before a task is started there"
+    );
 }
 
 #[test]
@@ -182,7 +185,10 @@
         "a missing answer alone proves nothing"
     );
     fixture.refuse_connection(&worker("v"));
-    assert!(fixture.starts().is_empty(), "it may run there until the platform says otherwise");
+    assert!(
+        fixture.starts().is_empty(),
+        "the task may run there while the platform lists the worker"
+    );
     let unreachable: Vec<UnreachableWorker> = fixture
         .pool
         .load(fixture.now)
