--- a/reachhead_node/src/admission.rs
+++ b/reachhead_node/src/admission.rs
@@ -34,7 +34,8 @@
 /// followed table is confirmed every second, so this age is only reached when its connection fails.
 const MIN_REFRESH_AGE: Millis = Millis(1400);
 
-/// Share of the time in which a configuration must take effect that may pass before a refresh.
+/// Age of the configuration above which it is refreshed, as a percentage of the time in which a new
+/// configuration must take effect.
 const REFRESH_AGE_PERCENT: u64 = 45;
 
 /// Timeout of a refresh from the store, and again from a peer.
--- a/reachhead_node/src/election.rs
+++ b/reachhead_node/src/election.rs
@@ -310,7 +310,8 @@
 }
 
 /// Reads the state that the previous owner left, with retries for as long as the lease names this
-/// process, so that a starting outage of the store does not cause another ownership change.
+/// process, so that an outage of the store that begins during the takeover does not cause another
+/// ownership change.
 async fn load(
     node: &Node,
     pool: &PoolName,
--- a/reachhead_node/src/fleet/quotas.rs
+++ b/reachhead_node/src/fleet/quotas.rs
@@ -22,8 +22,8 @@
     peer::{PeerReply, PoolRequest},
 };
 
-/// Pause between two rounds while no customer waits for more. The usage of pools changes, and
-/// should be known when a customer does.
+/// Pause between two rounds while no customer waits for more. The usage of pools still changes, and
+/// the ledger needs it as soon as a customer waits.
 const IDLE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Pause between two rounds while a customer's tasks wait and its quota is fully used: when a task
@@ -39,12 +39,13 @@
 
 /// Keeps the ledger for as long as this process owns the fleet lease with this token.
 pub async fn run(node: Arc<Node>, token: Revision) {
-    // An owner sees a new ledger within the time for which it trusts its own lease; what it started
-    // until its limits expire ends with its lease at the latest if it is not renewed.
+    // An owner sees a new ledger within the time for which it trusts its own lease. The runs that it
+    // starts until its limits expire end with the worker's lease at the latest, unless that is
+    // renewed.
     let effect = Millis(LEASE_TRUST_TIME.0 + LIMIT_EXPIRY.0 + with_drift(MAX_WORKER_LEASE).0);
     let mut ledger = Ledger::new(FencingToken(token.0), effect, node.now());
     while node.local_owner(&name()).is_some_and(|handle| handle.token == token) {
-        // An owner whose lease is older than this one must be known as the owner, see
+        // The owner of each lease that is older than this one must be known before a round, see
         // `Owner::allot`.
         let knows_older_leases = node.view().leases_revision >= token;
         let repeat_soon = knows_older_leases && round(&node, &mut ledger).await;
--- a/reachhead_node/src/fleet/usage.rs
+++ b/reachhead_node/src/fleet/usage.rs
@@ -25,7 +25,7 @@
 /// The row of the record, and the state of reading and writing it.
 #[derive(Default)]
 pub(super) struct UsageStore {
-    /// The record of a predecessor has been read.
+    /// The record of the previous fleet owner has been read.
     loaded: bool,
     revision: Option<Revision>,
     stored: UsageRecord,
@@ -40,7 +40,7 @@
         ClockPair { now: self.node.now(), wall: self.node.clock.wall() }
     }
 
-    /// Loads the record of a predecessor, unless that is done.
+    /// Loads the record of the previous fleet owner, unless that was done before.
     pub(super) async fn load_usage(&mut self) {
         if self.usage.loaded {
             return;
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -124,7 +124,7 @@
             if self.ended_hosts.contains(&platform_host.host) {
                 DrainProgress::Empty
             } else {
-                self.progress(platform_host, mode(&platform_host.host)).await
+                self.request_drain(platform_host, mode(&platform_host.host)).await
             }
         }))
         .await;
@@ -213,7 +213,7 @@
         }
     }
 
-    async fn progress(&self, platform_host: &PlatformHost, mode: DrainMode) -> DrainProgress {
+    async fn request_drain(&self, platform_host: &PlatformHost, mode: DrainMode) -> DrainProgress {
         let Some(worker) = &platform_host.worker else {
             return DrainProgress::Empty;
         };
--- a/reachhead_node/src/follow.rs
+++ b/reachhead_node/src/follow.rs
@@ -25,15 +25,16 @@
     view::MemberView,
 };
 
-/// Wait of a poll of the operators' table. The configuration in force is confirmed to be at most
-/// this old, which has to be well below the time in which a version must take effect.
+/// How long a poll of the operators' table waits for changes. The configuration in force is
+/// confirmed to be at most this old, which has to be well below the time in which a version must
+/// take effect.
 const OPERATOR_POLL_WAIT: Millis = Millis(1000);
 
-/// Wait of a poll of the leases; each answer confirms an owner's lease.
+/// How long a poll of the leases waits for changes; each answer confirms an owner's lease.
 const LEASE_POLL_WAIT: Millis = Millis(1500);
 
-/// The same in a process that owns nothing and does not watch owners, which needs the leases only
-/// to find owners.
+/// How long a poll of the leases waits in a process that owns nothing and does not watch owners,
+/// which needs the leases only to find owners.
 const IDLE_LEASE_POLL_WAIT: Millis = Millis(6000);
 
 /// Pause after changes of the leases in a process that is no member and owns nothing: at a first
@@ -42,12 +43,12 @@
 /// who has joined.
 const NON_MEMBER_LEASE_PAUSE: Millis = Millis(60);
 
-/// Wait of either poll in a process that relays tables to others. Until a poll is answered the
-/// state of the previous one counts, so relayed state is up to two waits old.
+/// How long a poll of either table waits in a process that relays them to others. Until a poll is
+/// answered the state of the previous one counts, so relayed state is up to two waits old.
 const RELAY_POLL_WAIT: Millis = Millis(600);
 
-/// Wait of a poll of the workers. A draining worker must soon get no more tasks, also when the
-/// connection has gone silent.
+/// How long a poll of the workers waits for changes. A draining worker must soon get no more tasks,
+/// also when the connection has gone silent.
 const WORKER_POLL_WAIT: Millis = Millis(1000);
 
 /// Pause between two polls of the workers. On large deployments some worker changes all the time,
@@ -68,7 +69,7 @@
     /// Returns the table's name.
     fn table(&self) -> &'static str;
 
-    /// Returns the wait of a poll.
+    /// Returns how long a poll waits for changes.
     fn poll_wait(&self) -> Millis;
 
     /// Returns the pause before the next poll after one that returned changes.
@@ -100,7 +101,7 @@
         let mut pause = MIN_RETRY_PAUSE;
         loop {
             if !follower.is_needed() {
-                // The table is checked again after a notification as well as after the timeout.
+                // The need is checked again after a notification as well as after the timeout.
                 let _ = time::timeout(MIN_RETRY_PAUSE, node.pool_acquired.notified()).await;
                 continue;
             }
@@ -376,7 +377,7 @@
 pub struct Workers(pub Arc<Node>);
 
 impl Workers {
-    /// Applies a worker's row; returns whether it changed anything. Most rows are heartbeats.
+    /// Applies a worker's row; returns whether the worker changed. Most rows are only heartbeats.
     fn take(&self, row: &Row, deleted: bool) -> bool {
         let node = &self.0;
         if deleted {
--- a/reachhead_node/src/handover.rs
+++ b/reachhead_node/src/handover.rs
@@ -20,15 +20,15 @@
     peer::{PeerReply, PeerRequest},
 };
 
-/// Interval at which a process compares its load with its peers.
+/// Interval at which a process compares its load with that of its peers.
 const CHECK_PERIOD: Duration = Duration::from_millis(700);
 
 /// Minimum time that an owner keeps a pool: a successor has to be settled before the next ownership
 /// change.
 const MIN_OWNERSHIP: Millis = Millis(3000);
 
-/// Timeout of the ping to the successor; a slow one would be no better owner. It includes the delay
-/// of this process itself, which is the larger the sooner it should hand over.
+/// Timeout of the ping to the successor; a process that answers later would be no better owner. The
+/// time includes the delay of this process itself, which is largest when a handover is most urgent.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Maximum age of the successor's last contact with the store, in milliseconds.
--- a/reachhead_node/src/membership.rs
+++ b/reachhead_node/src/membership.rs
@@ -28,7 +28,7 @@
 /// Interval at which an owner pings all members.
 const MEMBER_CHECK_PERIOD: Duration = Duration::from_millis(5000);
 
-/// Timeout of such a ping.
+/// Timeout of the ping to a member.
 const PING_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A change to this process's own membership.
@@ -75,7 +75,7 @@
             (known.revision != Revision(0)).then_some(MembershipChange::Leave)
         }
         Some(known) if known.record == record => None,
-        // The address has changed, and peers would use the old one.
+        // The address or the capacity weight has changed, and peers would use the old one.
         Some(_) => Some(MembershipChange::Join(record)),
         None => should_join(own, others(), target_members(pools))
             .then_some(MembershipChange::Join(record)),
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -124,8 +124,8 @@
         platform_hosts: &BTreeMap<HostId, PlatformHost>,
         is_held: impl Fn(&HostId) -> bool,
     ) -> Vec<Moved> {
-        let pools = self.pools().await;
-        self.unreachable = unreachable(&pools);
+        let pools = self.request_loads().await;
+        self.unreachable = unreachable_workers(&pools);
         let now = self.node.now();
         let platform_hosts = self.with_pending_moves(platform_hosts, now);
         let drained_zones = self.node.view().drained.clone();
@@ -228,7 +228,7 @@
     }
 
     /// Requests the load of all pools from their owners; a pool without an owner is skipped.
-    async fn pools(&self) -> BTreeMap<PoolName, PoolState> {
+    async fn request_loads(&self) -> BTreeMap<PoolName, PoolState> {
         let Some(config) = self.node.view().config.clone() else {
             return BTreeMap::new();
         };
@@ -263,7 +263,7 @@
     }
 }
 
-fn unreachable(pools: &BTreeMap<PoolName, PoolState>) -> Vec<UnreachableWorker> {
+fn unreachable_workers(pools: &BTreeMap<PoolName, PoolState>) -> Vec<UnreachableWorker> {
     let mut found = Vec::new();
     for (pool, state) in pools {
         let of_pool =
--- a/reachhead_node/src/owner/mod.rs
+++ b/reachhead_node/src/owner/mod.rs
@@ -56,9 +56,9 @@
 /// number, and workers keep what is not recorded yet.
 const MIN_RECORD_PERIOD: Millis = Millis(60);
 
-/// Time from a transaction to the next one that no caller waits for, in multiples of the duration
-/// of the last one. A slow store commits one at a time in each shard, and transactions that callers
-/// wait for would queue behind progress.
+/// Time from the end of a transaction to the next one that no caller waits for, in multiples of the
+/// duration of the last one. A slow store commits one at a time in each shard, and transactions that
+/// callers wait for would queue behind progress.
 const RECORD_PAUSE_FACTOR: u64 = 4;
 
 /// Pause after a failed transaction.
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -153,7 +153,7 @@
     /// The last call to the store failed.
     #[serde(default)]
     pub failing: bool,
-    /// The process is shutting down and takes nothing more.
+    /// The process is shutting down and takes over no more pools.
     #[serde(default)]
     pub stopping: bool,
     /// The name of the process. An older release does not send it, and counts as the one that was
--- a/reachhead_node/src/process.rs
+++ b/reachhead_node/src/process.rs
@@ -39,8 +39,8 @@
     registry,
 };
 
-/// Timeout of a call to the store. A slow store commits the transactions of a shard one after the
-/// other, and one that is retried too soon is queued twice.
+/// Timeout of a call to the store. A slow store commits the transactions of a partition one
+/// after the other, and one that is retried too soon is queued twice.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1800);
 
 /// Timeout of a poll of the change feed beyond its wait; it detects a connection that has gone
@@ -54,7 +54,7 @@
 
 /// Timeout of a long poll of a worker beyond its wait. Workers answer within milliseconds, and
 /// until a lost answer is detected the next steps of all jobs with a task there wait. It is longer
-/// than the delay of a busy owner itself, which would otherwise take all its workers for silent.
+/// than the delay of a busy owner itself, which would otherwise count all its workers as silent.
 const POLL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Timeout of a call about hosts.
@@ -63,9 +63,9 @@
 /// Timeout of a call to the advisor: one call covers thirty workers, and some calls wait before it.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// Maximum pause between two probes of a shard of the store that failed. All jobs of a pool wait
-/// for the last of its shards to be back, and two probes a second by its owner cost the store
-/// nothing.
+/// Maximum pause between two probes of a partition of the store that failed. All jobs of a pool
+/// wait until the last of its partitions is back, and two probes a second by the owner cost the
+/// store nothing.
 const MAX_PROBE_PAUSE: Duration = Duration::from_millis(400);
 
 /// Maximum calls to the store per second by this process; all processes together share the store's
@@ -82,7 +82,7 @@
 /// missed readiness checks, a second apart.
 const DRAIN_PERIOD: Duration = Duration::from_millis(2400);
 
-/// Part of the platform's grace period that is left unused.
+/// Part of the platform's grace period that is left unused at its end.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 /// Errors that stop the process.
--- a/reachhead_node/src/registry.rs
+++ b/reachhead_node/src/registry.rs
@@ -29,7 +29,7 @@
 /// Maximum time that the fleet owner holds a request until something changes.
 const MAX_HOLD: Millis = Millis(500);
 
-/// Timeout of its answer beyond that.
+/// Timeout of the fleet owner's answer beyond [`MAX_HOLD`].
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Pause between requests that are answered at once, so that changes of some tenths of a second
@@ -42,10 +42,11 @@
 /// How long an owner of a pool goes without a usable answer before it follows the table itself.
 const MAX_ANSWER_AGE: Millis = Millis(1500);
 
-/// Minimum time that it does so, since each change to it costs a read of the whole table.
+/// Minimum time that an owner of a pool then follows the table itself, since each change to that
+/// costs a read of the whole table.
 const MIN_DIRECT_PERIOD: Millis = Millis(8000);
 
-/// Maximum age of relayed state.
+/// Maximum age of the fleet owner's own state for it to answer from that state.
 const MAX_AGE: Millis = Millis(1900);
 
 /// A request for the workers of some pools.
--- a/reachhead_node/src/relay.rs
+++ b/reachhead_node/src/relay.rs
@@ -33,10 +33,10 @@
 /// Maximum time that a member holds a request until something changes.
 const MAX_HOLD: Millis = Millis(500);
 
-/// Timeout of a member's answer beyond that.
+/// Timeout of a member's answer beyond [`MAX_HOLD`].
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Maximum age of relayed state.
+/// Maximum age of a member's own state for it to answer from that state.
 const MAX_AGE: Millis = Millis(1900);
 
 /// Maximum age that state reaches by way of a member: one poll of the member, and one request to
@@ -207,8 +207,8 @@
     DatedPage { page, at: (sent + Millis(held)) - Millis(age) }
 }
 
-/// Requests a table from a member; returns `None` if it does not answer. After an answer without
-/// rows another member is chosen next time.
+/// Requests a table from a member; returns `None` if there is no member or it does not answer.
+/// After no answer or [`TableReply::Unknown`] the next request goes to a newly chosen member.
 async fn request_table(
     node: &Node,
     table: &'static str,
--- a/reachhead_node/src/submit/forwarding.rs
+++ b/reachhead_node/src/submit/forwarding.rs
@@ -97,8 +97,8 @@
 /// undecided jobs.
 ///
 /// Undecided jobs are forwarded again, as a job that is already stored is found by its id, and
-/// stored by this process only if the owner can't be reached: many processes that store on their
-/// own delay each other, most of all while the store is slow.
+/// stored by this process only if the owner can't be reached or can't store it: many processes that
+/// store on their own delay each other, most of all while the store is slow.
 pub(super) async fn forward(
     node: &Arc<Node>,
     pool: &PoolName,
@@ -129,7 +129,7 @@
     // A peer that fails at once is gone; one that times out is overloaded, and storing its jobs
     // elsewhere would not help it.
     let failed_fast = begun.elapsed() < FORWARD_TIMEOUT;
-    // An owner that can't store may be partitioned from the store only.
+    // The owner may be partitioned from the store while this process reaches it.
     let reaches_store = node.now().since(node.view().store_answered_at) <= MAX_OWN_STORE_AGE;
     let mut undecided = Vec::new();
     for (submission, outcome) in batch.into_iter().zip(outcomes) {
--- a/reachhead_node/src/submit/mod.rs
+++ b/reachhead_node/src/submit/mod.rs
@@ -1,7 +1,7 @@
 //! Stores accepted jobs in batches: one transaction at a time for each shard of a pool.
 //!
-//! A shard of the store commits transactions one after the other. When it is slow, single ones pile
-//! up until it refuses them; batches do not.
+//! The store commits the transactions of a shard one after the other. When it is slow, transactions
+//! of single jobs pile up until it refuses them; batches do not.
 
 mod forwarding;
 
@@ -75,7 +75,7 @@
     /// A transaction with the job was sent and its answer lost, so the job may be stored.
     pub maybe_stored: bool,
     /// This process stores the job itself, whichever process owns the pool: a peer forwarded it, or
-    /// the owner could not be reached.
+    /// the owner could not be reached or could not store it.
     pub store_here: bool,
     /// The job came from a caller of this process and not from a peer, so it may be forwarded.
     pub from_caller: bool,
--- a/reachhead_node/src/takeover.rs
+++ b/reachhead_node/src/takeover.rs
@@ -160,7 +160,7 @@
             .map(|shard| async move { load_shard(node, pool, token, shard, sequential).await })
             .buffer_unordered(concurrency)
             .collect::<Vec<_>>();
-        // The roster is in the same shard as the lease, so the lease alone fences it.
+        // The roster is in the same partition of the store as the lease, so the lease alone fences it.
         let scan = Scan { prefix: roster_prefix(pool), after: None, limit: u32::MAX };
         let known = self.roster.take();
         let roster = async {
