--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -24,6 +24,7 @@
 /// A wave that this process carries out.
 pub(super) struct ActiveWave {
     pub(super) wave: Wave,
+    /// The revision of the wave's row, if there is one.
     pub(super) revision: Option<Revision>,
 }
 
@@ -89,6 +90,7 @@
         self.waves.get(wave).is_some_and(|active| active.wave.record.completed)
     }
 
+    /// Takes the next hosts of a wave, and records its progress if that has changed.
     pub(super) async fn advance_wave(&mut self, name: &WaveName) {
         let now = self.node.now();
         let Some(active) = self.waves.get_mut(name) else {
--- a/reachhead_node/src/follow.rs
+++ b/reachhead_node/src/follow.rs
@@ -185,6 +185,7 @@
 pub struct Operators(pub Arc<Node>);
 
 impl Operators {
+    /// Applies a change of a row.
     fn take(&self, change: &Change) {
         let node = &self.0;
         if change.deleted {
@@ -267,6 +268,7 @@
 pub struct Leases(pub Arc<Node>);
 
 impl Leases {
+    /// Applies a change of a row.
     fn take(&self, change: &Change, now: Tick) {
         match parse_lease_key(&change.row.key) {
             Some(LeaseKey::Member(node)) => self.update_member(node, change),
--- a/reachhead_node/src/membership.rs
+++ b/reachhead_node/src/membership.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Writes or deletes this process's entry; returns whether that was decided.
+/// Writes or deletes this process's entry; returns whether the store accepted that.
 async fn take(node: &Node, change: MembershipChange) -> bool {
     let key = member_key(&node.settings.node);
     let known = node.view().members.get(&node.settings.node).map(|member| member.revision);
--- a/reachhead_node/src/moves.rs
+++ b/reachhead_node/src/moves.rs
@@ -117,8 +117,8 @@
         self.node.settings.host_api.map_or(0.0, |hosts| hosts.order_rate)
     }
 
-    /// Reads the load of all pools and moves hosts accordingly. Hosts for which `is_held` is true
-    /// are in use by something else and stay.
+    /// Requests the load of all pools and moves hosts accordingly. Hosts for which `is_held` is true
+    /// have an open order or are drained for maintenance, and stay.
     pub async fn round(
         &mut self,
         platform_hosts: &BTreeMap<HostId, PlatformHost>,
--- a/reachhead_node/src/owner/mod.rs
+++ b/reachhead_node/src/owner/mod.rs
@@ -199,6 +199,7 @@
         }
     }
 
+    /// Processes an input.
     fn take(&mut self, input: Input) {
         let now = self.node.now();
         match input {
--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -138,7 +138,7 @@
     DrainStatuses(Vec<DrainProgress>),
     /// The capacity that the pool needs.
     Load(PoolLoad),
-    /// What customers use in the pool, and could use.
+    /// The usage and the demand of customers in the pool.
     #[serde(rename = "statement")]
     Usage(UsageReport),
 }
--- a/reachhead_node/src/submit/mod.rs
+++ b/reachhead_node/src/submit/mod.rs
@@ -77,7 +77,8 @@
     /// This process stores the job itself, whichever process owns the pool: a peer forwarded it, or
     /// the owner could not be reached or could not store it.
     pub store_here: bool,
-    /// The job came from a caller of this process and not from a peer, so it may be forwarded.
+    /// The job came from a caller of this process and not from a peer, so it may be forwarded once
+    /// to a peer that reaches the store.
     pub from_caller: bool,
     /// Set by whichever comes first: the sender, or the caller that gives up.
     claimed: Arc<AtomicBool>,
@@ -86,7 +87,8 @@
 }
 
 impl Submission {
-    /// Returns whether the job may be sent: its caller still waits, or it was sent before.
+    /// Claims the job for sending, so that its caller can no longer withdraw it; returns whether it
+    /// may be sent: its caller still waits, or it was sent before.
     fn take(&mut self) -> bool {
         self.sent = self.sent || !self.claimed.swap(true, Ordering::Relaxed);
         self.sent
