--- a/reachhead_node/src/peer.rs
+++ b/reachhead_node/src/peer.rs
@@ -138,7 +138,7 @@
     DrainStatuses(Vec<DrainProgress>),
     /// The capacity that the pool needs.
     Load(PoolLoad),
-    /// What customers use in the pool, and could use.
+    /// The usage and the demand of customers in the pool.
     #[serde(rename = "statement")]
     Usage(UsageReport),
 }
@@ -153,7 +153,7 @@
     /// The last call to the store failed.
     #[serde(default)]
     pub failing: bool,
-    /// The process is shutting down and takes nothing more.
+    /// The process is shutting down and takes over no more pools.
     #[serde(default)]
     pub stopping: bool,
     /// The name of the process. An older release does not send it, and counts as the one that was
