--- a/reachhead_jobs/tests/authority.rs
+++ b/reachhead_jobs/tests/authority.rs
@@ -27,7 +27,8 @@
     }
 }
 
-const DUTY: Millis = Millis(3000);
+/// Lease duration, within which only one of two alternating holders may give orders.
+const LEASE_DURATION: Millis = Millis(3000);
 
 /// Returns a previous holder whose lease this process found at its start.
 fn found(record: &LeaseRecord) -> PreviousHolder<'_> {
@@ -41,7 +42,7 @@
 }
 
 fn overlap(previous: PreviousHolder<'_>) -> Millis {
-    previous.takeover_wait(Tick(50_000), DUTY, false)
+    previous.takeover_wait(Tick(50_000), LEASE_DURATION, false)
 }
 
 #[test]
@@ -70,32 +71,37 @@
     let whole = with_drift(ORDER_WINDOW);
     let denied = |at| PreviousHolder { disclaimed_at: Some(Tick(at)), ..found(&held) };
     assert_eq!(overlap(found(&held)), whole);
-    assert_eq!(overlap(found(&returned)), Millis(0), "it gave the lease back");
-    assert_eq!(overlap(denied(15_000)), Millis(0), "it answers and holds nothing");
-    assert_eq!(overlap(denied(10_040)), whole, "it may not have begun yet");
+    assert_eq!(overlap(found(&returned)), Millis(0), "the holder released the lease");
+    assert_eq!(
+        overlap(denied(15_000)),
+        Millis(0),
+        "the holder denies holding the lease long after it took it"
+    );
+    assert_eq!(overlap(denied(10_040)), whole, "the holder may not have started its work yet");
     assert_eq!(
         overlap(PreviousHolder { is_self: true, ..found(&held) }),
         Millis(0),
-        "it was restarted"
+        "the holder was this process before a restart"
     );
     assert_eq!(
-        found(&held).takeover_wait(Tick(50_000), DUTY, true),
+        found(&held).takeover_wait(Tick(50_000), LEASE_DURATION, true),
         Millis(0),
-        "tokens are checked"
+        "the platform checks tokens"
     );
 }
 
-/// All processes lose power and come back: moves of hosts must not wait while jobs do.
+/// After a power loss of all processes, the fleet owner must not delay moves of hosts for which jobs
+/// wait.
 #[test]
 fn a_restarted_process_does_not_wait_for_a_lease_of_unknown_age() {
     let held = lease(Some("n"));
     let soon = Tick(10_300);
-    assert_eq!(found(&held).takeover_wait(soon, DUTY, true), Millis(0));
+    assert_eq!(found(&held).takeover_wait(soon, LEASE_DURATION, true), Millis(0));
     let observed = PreviousHolder { observed: true, ..found(&held) };
     assert_eq!(
-        observed.takeover_wait(soon, DUTY, true),
+        observed.takeover_wait(soon, LEASE_DURATION, true),
         Millis(2700),
-        "holders must not take turns"
+        "holders must not alternate within one lease duration"
     );
 }
 
--- a/reachhead_node/src/fleet/waves.rs
+++ b/reachhead_node/src/fleet/waves.rs
@@ -24,6 +24,7 @@
 /// A wave that this process carries out.
 pub(super) struct ActiveWave {
     pub(super) wave: Wave,
+    /// The revision of the wave's row, if there is one.
     pub(super) revision: Option<Revision>,
 }
 
@@ -89,6 +90,7 @@
         self.waves.get(wave).is_some_and(|active| active.wave.record.completed)
     }
 
+    /// Takes the next hosts of a wave, and records its progress if that has changed.
     pub(super) async fn advance_wave(&mut self, name: &WaveName) {
         let now = self.node.now();
         let Some(active) = self.waves.get_mut(name) else {
@@ -124,7 +126,7 @@
             if self.ended_hosts.contains(&platform_host.host) {
                 DrainProgress::Empty
             } else {
-                self.progress(platform_host, mode(&platform_host.host)).await
+                self.request_drain(platform_host, mode(&platform_host.host)).await
             }
         }))
         .await;
@@ -213,7 +215,7 @@
         }
     }
 
-    async fn progress(&self, platform_host: &PlatformHost, mode: DrainMode) -> DrainProgress {
+    async fn request_drain(&self, platform_host: &PlatformHost, mode: DrainMode) -> DrainProgress {
         let Some(worker) = &platform_host.worker else {
             return DrainProgress::Empty;
         };
